--- a/src/primrosestile/decisions/work/__init__.py
+++ b/src/primrosestile/decisions/work/__init__.py
@@ -1,24 +1,24 @@
-"""Decisions about jobs of steps, on one picture of the fleet.
+"""Scheduling decisions for jobs of steps, made on one state of the fleet.
 
-What they are made on:
+Data that decisions are made on:
 
 - `units`: jobs, units, members and workers.
-- `board`: the picture that is made of them, and what events change in it.
-- `durations`, `speeds`: what is learned of run times and workers.
+- `fleet_state`: the fleet's state, and how events change it.
+- `durations`, `speeds`: run times and worker speeds learned from past runs.
 
-One pass, `planning`, asks in this order; each module says which load it answers:
+One pass, `plan`, runs these in order; each module names the load it is made for:
 
-1. `rescuing`: what stands still and goes elsewhere.
-2. `ordering`: which waiting unit goes first.
-3. `placing`: where it goes, if it fits.
-4. `preempting`: what may be stopped for it, if it does not fit; `evicting`: where;
-   `freeing`: for whom that is held, and how long it is waited for.
-5. `reserving`: room that is kept for it until then.
+1. `stall_restarts`: which stalled units are restarted elsewhere.
+2. `queue_order`: which waiting unit goes first.
+3. `placement`: where it goes, if it fits.
+4. `preemption`: what may be stopped for it, if it does not fit; `evictions`: where;
+   `held_room`: for whom that room is held, and for how long.
+5. `reservations`: room that is reserved for it until then.
 
-`mechanisms` composes these, so that each can be taken away by itself. Beside the pass:
+`mechanisms` composes these, so that each can be replaced by itself. Beside the pass:
 
-- `evacuating`: what is taken off a worker that leaves.
-- `trust`: which workers are left out for a while.
-- `pacing`, `advising`, `upkeep`: filling work, the advice service, waves of upkeep.
-- `fitness`, `standing`: who may own the fleet.
+- `evacuation`: what is moved off a worker that leaves.
+- `worker_quarantine`: which workers get no new work for a while.
+- `paces`, `advice`, `maintenance`: filling work, the advice service, maintenance waves.
+- `owner_health`, `election_delay`: which process may own the fleet.
 """
--- a/src/primrosestile/decisions/work/advising.py
+++ b/src/primrosestile/decisions/work/advising.py
@@ -1,12 +1,12 @@
-"""Which question the advice service is asked next.
-
-Load: queues whose steps may run on some workers only, which nobody but a slow
-service knows: it answers one question at a time, and longer for each worker named.
-Harm: asked about the whole fleet for each step, urgent steps wait behind the
-questions of others; asked about too few workers, a gang never finds enough of them.
-So the most pressing step is asked about first, about a few workers for each task that
-waits, those with the most room first, and what was said is remembered: the workers of
-a step do not change, only its tickets run out.
+"""Chooses the next question for the advice service.
+
+Load: queues whose steps may run on some workers only, which only a slow service
+knows: it answers one question at a time, and takes longer for each worker named.
+Harm: with questions about the whole fleet for each step, urgent steps wait behind the
+questions of others; with too few workers named, a gang never finds enough of them.
+So the most urgent step is asked about first, with a few workers for each waiting task,
+those with the most room first. Answers are kept: the allowed workers of a step do not
+change, only its tickets expire.
 """
 
 from collections import Counter
@@ -24,12 +24,13 @@
 from primrosestile.decisions.work.units import Permit, Unit
 from primrosestile.state.policy import Advised
 
-# What a job's objective allows for: one question about this many workers a step.
+# A job's objective allows for one question about this many workers per step.
 WORKERS_PER_QUESTION = 30
-# Named for each task that waits, as some of them may not be allowed.
+# Workers named per waiting task, as some of them may not be allowed.
 WORKERS_PER_TASK = 4
-# Before a ticket runs out: the start is on its way, and clocks differ by 2%.
-MARGIN_SECONDS = 0.5
+# A ticket is not used this shortly before it expires: the start takes time to arrive,
+# and clocks differ by 2%.
+TICKET_MARGIN_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +48,7 @@
 
 
 def choose_question(board: Board, durations: Durations, now: float) -> Question | None:
-    """Return the question that helps the most pressing step, or None."""
+    """Return a question about the most urgent step that needs one, or None."""
     waiting = [
         unit for unit in board.list_waiting(now) if unit.job.queue.advised is not None
     ]
@@ -68,7 +69,7 @@
 
 
 def _ask_about(unit: Unit, tasks: int, rooms: Rooms, now: float) -> Question | None:
-    """Return a question about a step unless enough of its workers are known.
+    """Return a question about a step, or None if enough allowed workers are known.
 
     Args:
         unit: One of the step's waiting units.
@@ -85,7 +86,7 @@
         if permits.is_valid(name, now):
             lacking -= fitting
         elif name not in permits.refused:
-            # A worker that was allowed before needs but a new ticket.
+            # Workers that were allowed before go first: they only need a new ticket.
             unknown.append((name not in permits.granted, -fitting, name))
     if lacking <= 0 or not unknown:
         return None
@@ -106,12 +107,12 @@
 
 
 def note_answer(question: Question, allowed: dict[str, str], asked_at: float) -> None:
-    """Take an answer in.
+    """Store an answer in its step's permits.
 
     Args:
-        question: That was asked.
+        question: The one that was asked.
         allowed: The ticket of each worker that the step may run on.
-        asked_at: When the question was sent; tickets are taken to count from then.
+        asked_at: When the question was sent; the tickets' validity counts from then.
     """
     unit = question.unit
     permits = unit.permits
@@ -119,7 +120,7 @@
     valid = advised.valid_seconds if advised is not None else 0.0
     for worker in question.workers:
         if worker in allowed:
-            until = asked_at + valid - MARGIN_SECONDS
+            until = asked_at + valid - TICKET_MARGIN_SECONDS
             permits.granted[worker] = Permit(allowed[worker], until)
         else:
             permits.refused.add(worker)
--- a/src/primrosestile/decisions/work/board.py
+++ b/src/primrosestile/decisions/work/board.py
@@ -1,6 +1,6 @@
-"""The owner's picture of the fleet: what waits, what runs where, what has room.
+"""The owner's state of the fleet: what waits, what runs where, what has room.
 
-Events change it, and decisions read it. `units` tells what it is made of.
+Events change it, and decisions read it. `units` defines its parts.
 """
 
 from collections.abc import Collection, Iterable, Iterator
@@ -8,7 +8,7 @@
 from primrosestile.decisions.work.crashes import Crashes
 from primrosestile.decisions.work.preempting import UNSAVED_SECONDS
 from primrosestile.decisions.work.units import (
-    LIFE_PROOFS,
+    FINAL_PROOFS,
     UNKNOWN_PACE,
     Job,
     Member,
@@ -29,22 +29,22 @@
 from primrosestile.state.workers import EndKind, WorkerEntry, make_bare_entry
 
 
-def _make_forgotten_queue(attempts: int) -> Queue:
-    """Return what a job is judged by while no policy names its queue.
+def _make_fallback_queue(attempts: int) -> Queue:
+    """Return the queue settings for a job whose queue is not in the policy.
 
-    It keeps the attempts that it was accepted with. Judged by a single one, a job would
-    be shown as failed after its first failed run, when an owner begins while operators
-    have its queue taken away for some seconds.
+    The job keeps the attempts that it was accepted with. With a single attempt, it
+    would fail after its first failed run when an owner begins while operators have
+    removed its queue for some seconds.
     """
     return Queue("", "", "", "", 2, attempts, 3.0, 3.0, 3.0)
 
 
 class Board:
-    """The picture; events change it, decisions read it.
+    """The fleet's state; events change it, decisions read it.
 
     Attributes:
-        changed: Jobs whose records differ from what was last taken.
-        gone: Members taken as gone since these were last taken, and why.
+        changed: Jobs whose records changed since the last `take_changed`.
+        gone: Members marked as gone since the last `take_gone`, and why.
         crashes: Which tasks crash their workers.
     """
 
@@ -55,21 +55,22 @@
         self.changed: set[Job] = set()
         self.gone: list[tuple[Member, Proof]] = []
         self.crashes = Crashes(self._give_up)
-        # Seconds since 1970, as of the present event, for what is due at a time of day
-        # and for the records; a new owner may hear of ends before its first pass.
+        # Seconds since 1970, as of the current event, for what is due at a time of day
+        # and for the records; a new owner may receive ends before its first pass.
         self.wall = wall
-        # Lives of workers that are over, and their addresses. The list names them for
-        # some seconds more; taken for new each time, they would be asked again at each
-        # reading of it.
+        # Ended incarnations of workers, and their addresses. The store lists them for
+        # some seconds more; without this, each reading of the list would take them for
+        # new and ask them again.
         self._ended: dict[str, str] = {}
-        # Where workers have answered an earlier owner, by name, as records tell. An
-        # owner only starts runs on workers that have answered it.
+        # Addresses at which workers have answered an earlier owner, by name, from the
+        # records. An owner only starts runs on workers that have answered it.
         self.proven: dict[str, str] = {}
-        # Members on workers that no entry names, of which only time can tell.
+        # Members on workers without an entry, by worker; only time shows that they are
+        # gone, unless the worker has a verified address to ask.
         self.astray: dict[str, list[Member]] = {}
 
     def take_policy(self, policy: Policy) -> None:
-        """Judge by a newer version; jobs keep the last queue of their name."""
+        """Apply a newer version; a job whose queue was removed keeps its settings."""
         self.policy = policy
         for job in self.jobs.values():
             job.queue = policy.find_named(job.submission.queue) or job.queue
@@ -77,9 +78,9 @@
     def admit(
         self, submission: Submission, progress: Progress | None, now: float, age: float
     ) -> Job:
-        """Add a job, as it was accepted or as far as an earlier owner brought it."""
+        """Add a job, as it was accepted or with the progress recorded so far."""
         queue = self.policy.find_named(submission.queue)
-        queue = queue or _make_forgotten_queue(submission.attempts)
+        queue = queue or _make_fallback_queue(submission.attempts)
         job = Job(submission, queue, now - age)
         self.jobs[job.job_id] = job
         if progress is None:
@@ -95,7 +96,7 @@
         return job
 
     def open_occurrence(self, job: Job, occurrence: int) -> None:
-        """Make the units of one occurrence."""
+        """Create the units of one occurrence."""
         job.occurrences = max(job.occurrences, occurrence + 1)
         for number, step in enumerate(job.submission.steps):
             for index in range(1 if step.gang else step.count):
@@ -116,7 +117,8 @@
             self.place_members(unit, record.workers, now)
             for member in unit.members:
                 member.restored = True
-                # A change of owner makes no work young.
+                # When the run began isn't known; after a change of owner unsaved work
+                # must not count as new, and so cheap to stop.
                 member.since = now - UNSAVED_SECONDS
                 member.pace = UNKNOWN_PACE
 
@@ -126,7 +128,7 @@
         unit.run += 1
         unit.abandoned = False
         unit.failed_here = False
-        unit.claim = ()
+        unit.reserved_workers = ()
         unit.freed = ()
         unit.freed_rounds = 0
         unit.isolating_since = None
@@ -134,7 +136,7 @@
         self.changed.add(unit.job)
 
     def place_members(self, unit: Unit, workers: Iterable[str], now: float) -> None:
-        """Make the members of a unit's run."""
+        """Create the members of a unit's run."""
         unit.members = tuple(
             Member(
                 unit,
@@ -156,7 +158,7 @@
                 worker.attach(member)
 
     def add_worker(self, entry: WorkerEntry) -> Worker:
-        """Add a life of a worker, with the members that records name on it."""
+        """Add an incarnation of a worker, with the members recorded on it."""
         worker = Worker(entry)
         worker.proven = self.proven.get(entry.worker) == entry.address
         self.workers[entry.worker] = worker
@@ -166,18 +168,18 @@
         return worker
 
     def find_proven(self, name: str) -> str | None:
-        """Return the address at which a life has answered us or an earlier owner."""
+        """Return where an incarnation has answered this or an earlier owner."""
         worker = self.workers.get(name)
         if worker is not None and worker.proven:
             return worker.entry.address
         return self.proven.get(name)
 
     def list_astray(self) -> list[WorkerEntry]:
-        """Return what is known of the workers that records name and no entry does.
+        """Return bare entries for workers that are in records but not in the list.
 
-        They take no new work; but they can be asked where they have answered before.
-        Left alone, what runs there would lose its lease with the former owner, and what
-        has ended there with its worker would be waited for until that lease is over.
+        They take no new work, but can be asked where they have answered before.
+        Otherwise what runs there would lose the lease that the former owner gave, and
+        what ended with its worker would be waited for until that lease is over.
         """
         return [
             make_bare_entry(name, self.proven[name])
@@ -186,13 +188,13 @@
         ]
 
     def drop_worker(self, name: str, proof: Proof) -> None:
-        """Note that a worker's life is certainly over, or its lease has run out."""
+        """Remove a worker whose incarnation or lease has certainly ended."""
         for member in self.astray.pop(name, []):
             self.note_gone(member, proof)
         worker = self.workers.pop(name, None)
         if worker is None:
             return
-        if proof in LIFE_PROOFS:
+        if proof in FINAL_PROOFS:
             self._ended[name] = worker.entry.address
         if proof is Proof.LIFE_OVER:
             self.crashes.record_crash(worker)
@@ -200,22 +202,22 @@
             self.note_gone(member, proof)
 
     def has_ended(self, entry: WorkerEntry) -> bool:
-        """Whether an entry is that of a life that is known to be over."""
+        """Whether an entry is that of an incarnation that is known to have ended."""
         return self._ended.get(entry.worker) == entry.address
 
     def forget_ended(self, present: Collection[str]) -> None:
-        """Forget the lives that are over and that the list names no more."""
+        """Remove ended incarnations that are no longer in the list."""
         for name in [name for name in self._ended if name not in present]:
             del self._ended[name]
 
     def clear_worker(
         self, worker: Worker, proof: Proof, now: float, refuses: bool = False
     ) -> None:
-        """Note that nothing can be running on a worker, which may come back.
+        """Mark all members on a worker as gone; the worker may come back.
 
         Args:
             worker: Whose lease is over.
-            proof: Why that is certain.
+            proof: Why nothing can be running there.
             now: On the loop's clock.
             refuses: Nothing listens at its address, so it has crashed.
         """
@@ -251,7 +253,7 @@
         return job.units.get(UnitKey(occurrence, step, index))
 
     def note_end(self, task: str, run: int, kind: EndKind, checkpoint: str) -> None:
-        """Take in the end of a run; that of an older run changes nothing."""
+        """Apply the end of a run; that of an older run changes nothing."""
         member = self.find_member(task, run)
         if member is None or member.state is MemberState.GONE:
             return
@@ -283,7 +285,7 @@
         return all(unit.phase is Phase.DONE for unit in job.units.values())
 
     def _note_failed(self, unit: Unit, worker: str) -> None:
-        """Count one failure a run, however many members of a gang report it."""
+        """Count one failure per run, however many members of a gang report it."""
         if unit.phase is not Phase.ORDERED:
             return
         unit.abandoned = True
@@ -297,7 +299,7 @@
         self.finish(unit.job, JobState.FAILED)
 
     def finish(self, job: Job, state: JobState) -> None:
-        """Bring a job to its final state; what runs of it is to be stopped."""
+        """Set a job's final state; unless it completed, its runs are stopped."""
         if job.state.final:
             return
         job.state = state
@@ -313,12 +315,12 @@
         self.finish(job, JobState.FAILED)
 
     def abandon(self, unit: Unit) -> None:
-        """End a unit's present run, so that it can be started again."""
+        """End a unit's current run, so that it can be started again."""
         if unit.phase is Phase.ORDERED:
             unit.abandoned = True
 
     def note_gone(self, member: Member, proof: Proof) -> None:
-        """Note that a member certainly does not run, and never will."""
+        """Mark a member that certainly does not run, and never will, as gone."""
         if member.state is MemberState.GONE:
             return
         member.state = MemberState.GONE
@@ -338,7 +340,7 @@
             unit.abandoned = False
 
     def note_up(self, member: Member, now: float) -> None:
-        """Note that a worker has said that a member runs."""
+        """Mark a member as running, as reported by its worker."""
         if member.state is not MemberState.SENT:
             return
         member.state = MemberState.UP
@@ -356,7 +358,7 @@
                     yield member
 
     def list_waiting(self, now: float) -> list[Unit]:
-        """Return the units that could start, were there room."""
+        """Return the units that could start if there were room."""
         waiting: list[Unit] = []
         for job in self.jobs.values():
             if job.state.final:
@@ -392,7 +394,7 @@
         return True
 
     def count(self) -> dict[str, int]:
-        """Return figures of the moment, for those who watch over the fleet."""
+        """Return current figures for the metrics."""
         open_jobs = [job for job in self.jobs.values() if not job.state.final]
         phases = [unit.phase for job in open_jobs for unit in job.units.values()]
         return {
@@ -407,13 +409,13 @@
         }
 
     def take_gone(self) -> list[tuple[Member, Proof]]:
-        """Return the members taken as gone since the last call, and why."""
+        """Return the members marked as gone since the last call, and why."""
         gone = self.gone
         self.gone = []
         return gone
 
     def take_changed(self) -> set[Job]:
-        """Return the jobs whose records must be written, and forget them."""
+        """Return the jobs whose records must be written, and clear the set."""
         changed = self.changed
         self.changed = set()
         return changed
--- a/src/primrosestile/decisions/work/crashes.py
+++ b/src/primrosestile/decisions/work/crashes.py
@@ -1,14 +1,14 @@
-"""Which tasks crash the workers that start them.
+"""Detects poison tasks: tasks that crash the workers that start them.
 
-Load: a task that takes down each worker on which it starts, among tasks that were only
-there, on a fleet whose workers also crash by themselves. Harm: started again without
-end, such a task takes one worker after another, with all that runs there; given up too
-soon, a job that could be done is shown as failed.
+Load: a task that crashes each worker on which it starts, beside innocent tasks, on a
+fleet whose workers also crash by themselves. Harm: restarted without bound, such a task
+crashes one worker after another, with all that runs there; given up too soon, a job
+that could succeed is failed.
 
-A crash is counted for each task that was on the worker. What tells them apart: a task
-that was alone there and had only just started is the cause, or met a worker that
-crashed by itself in that very moment, which doesn't happen twice. So a task under
-which two workers have crashed is tried on a worker of its own.
+A crash is counted for each task that was on the worker. To tell the tasks apart: one
+that was alone there and had only just started is the cause, unless the worker crashed
+by itself at that moment, which doesn't happen twice. So a task under which two workers
+have crashed is tried on a worker of its own.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,27 +17,29 @@
 from primrosestile.decisions.work.units import Job, Member, MemberState, Unit, Worker
 from primrosestile.state.work import CrashCount, Phase
 
-# From the start of a run to the first call that its worker left unanswered. Until a
-# worker crashes, one call to it always waits, and fails when the worker is gone.
+# From the start of a run to the first call that its worker left unanswered. One call to
+# each worker is always pending, and fails as soon as the worker crashes.
 AT_ONCE_SECONDS = 0.5
-# So often alone on its worker and at once: nothing else explains it.
+# Crashes right after a start of the task alone on its worker: two are proof enough.
 ALONE_LIMIT = 2
-# After this many crashes, one more that came at once to the task alone is enough.
+# With this many crashes in all, the last one right after a start of the task alone, the
+# task is given up.
 TRIAL_LIMIT = 3
-# Whatever else was there. Operators allow two starts after the third crash; one of them
-# is left for a crash that no owner could see.
+# With this many crashes the task is given up whatever else ran there. Operators allow
+# two starts after the third crash; one is left for a crash that no owner could see.
 CRASH_LIMIT = 4
-# From this many crashes on a task is tried on a worker of its own.
+# From this many crashes on, a task is tried on a worker of its own.
 ISOLATION_COUNT = 2
-# How long it waits for one. Operators promise that nothing waits for 3 s beside room
-# for it, and on a busy fleet no worker may ever be empty.
+# How long it waits for one. Operators promise that nothing waits for 3 s while there is
+# room for it, and on a busy fleet no worker may ever be empty.
 ISOLATION_SECONDS = 2.0
-# How long nothing else is started beside it.
+# How long nothing else is started on the worker of an isolated task.
 TRIAL_SECONDS = 3.0
-# A run that was seen to last this long was not ended by its own start. Without that, a
-# task that runs for weeks would be given up after the fourth worker that fails.
+# A run that was seen to last longer than this did not crash its worker by starting.
+# Otherwise a task that runs for weeks would be given up after four worker failures.
 LASTED_SECONDS = 60.0
-# How long a silent worker may be back as another one and count as crashed.
+# If another incarnation answers at a silent worker's address within this time, the
+# worker counts as crashed.
 PENDING_SECONDS = 60.0
 
 
@@ -46,8 +48,8 @@
     """One task whose worker has crashed.
 
     Attributes:
-        count: That of the task, with this crash.
-        given_up: Whether its job fails by it.
+        count: The task's crashes, including this one.
+        given_up: Whether its job fails because of it.
     """
 
     member: Member
@@ -57,11 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Loss:
-    """A task that was on a worker of which nothing is heard any more.
+    """A task that was on a worker that crashed or fell silent.
 
     Attributes:
-        alone: Nothing of other units was there, and it had only just started.
-        lasted: It was seen to run for long.
+        alone: No other unit was there, and it had only just started.
+        lasted: It was seen to run for longer than `LASTED_SECONDS`.
     """
 
     member: Member
@@ -74,30 +76,30 @@
     """Counts, for each task, the workers that crashed under it.
 
     Attributes:
-        found: Crashes that were counted since the last call of `pop_found`.
+        found: Crashes counted since the last call of `pop_found`.
     """
 
     def __init__(self, give_up: Callable[[Job], None]) -> None:
-        """Count nothing yet.
+        """Start with no crashes.
 
         Args:
             give_up: Called with the job of a task that crashes its workers.
         """
         self.found: list[Crash] = []
         self._give_up = give_up
-        # Tasks on workers that fell silent, by the worker's address, and since when.
+        # By address of a silent worker: when its lease ended, and the tasks on it.
         self._pending: dict[str, tuple[float, tuple[_Loss, ...]]] = {}
 
     def record_crash(self, worker: Worker) -> None:
-        """Count a worker that is gone, unless it was to go."""
+        """Count the crash of a worker, unless it was leaving or drained."""
         _, before = self._pending.pop(worker.entry.address, (0.0, ()))
         self._count((*before, *_list_losses(worker)))
 
     def record_silence(self, worker: Worker, now: float) -> None:
-        """Remember what was on a worker that fell silent until its lease was over.
+        """Keep the tasks of a worker that was silent until its lease was over.
 
-        It may be cut off and run on, or have crashed; the next answer from its
-        address tells.
+        It may be partitioned and still run, or have crashed; the next answer from its
+        address shows which.
         """
         self._pending = {
             address: (since, losses)
@@ -109,17 +111,19 @@
             self._pending[worker.entry.address] = (now, losses)
 
     def record_answer(self, address: str, worker: str, now: float) -> None:
-        """Learn from an answer what became of the worker that was silent there.
+        """Decide by an answer whether the silent worker at that address crashed.
 
-        The same incarnation was only cut off; if it is another one, it has crashed.
+        The same incarnation was only partitioned; if another one answers, the silent
+        one has crashed.
         """
         self.record_entry(address, worker, now)
         self._pending.pop(address, None)
 
     def record_entry(self, address: str, worker: str, now: float) -> None:
-        """Count what was on a silent worker at whose address another one is listed.
+        """Count a silent worker as crashed if another one is listed at its address.
 
-        The entry of the same incarnation stands for seconds after its end.
+        An entry of the same incarnation shows nothing: it stays for seconds after its
+        end.
         """
         since, losses = self._pending.get(address, (now, ()))
         if not losses or losses[0].member.worker == worker:
@@ -138,7 +142,7 @@
         for loss in losses:
             unit = loss.member.unit
             before = unit.crashes.get(loss.position, CrashCount(loss.position))
-            # An owner finds again what an earlier one had counted.
+            # A new owner may detect a crash again that an earlier one had counted.
             if loss.lasted or unit.job.state.final or before.run == loss.member.run:
                 continue
             count = CrashCount(
@@ -155,7 +159,7 @@
 
 
 def _list_losses(worker: Worker) -> list[_Loss]:
-    """Return the tasks on a worker, none if it was known to leave."""
+    """Return the tasks on a worker; none if it was leaving or drained."""
     if worker.entry.leaving or worker.closed:
         return []
     members = [
@@ -177,9 +181,9 @@
 
 
 def _has_just_started(member: Member, worker: Worker) -> bool:
-    """Whether a worker was gone shortly after a task's start.
+    """Whether a worker stopped answering shortly after a task's start.
 
-    Of a run that an earlier owner ordered the start isn't known.
+    The start of a run that an earlier owner ordered isn't known until it is reported.
     """
     if worker.unanswered_at is None or (member.restored and not member.up_at):
         return False
@@ -193,7 +197,7 @@
 
 
 def is_isolated(unit: Unit) -> bool:
-    """Whether a unit is to run on workers of its own."""
+    """Whether a unit is to be tried on workers of its own."""
     return any(each.count >= ISOLATION_COUNT for each in unit.crashes.values())
 
 
--- a/src/primrosestile/decisions/work/evacuating.py
+++ b/src/primrosestile/decisions/work/evacuating.py
@@ -1,10 +1,10 @@
-"""Which work is taken off a worker that leaves, and when.
+"""Which work is moved off a worker that leaves, and when.
 
-Load: a worker that says two seconds before that it leaves, with runs on it that
-need longer. Harm: what it runs ends with it, and a render of seven seconds begins
-anew elsewhere. Work with checkpoints saves one as it is stopped, so it is stopped
-as late as is safe and goes on elsewhere. Work without them stays: a worker may
-stay for many seconds longer than it says, and to stop the run is to lose it.
+Load: a worker that announces two seconds ahead that it leaves, with runs on it that
+need longer. Harm: its runs end with it, and a render of seven seconds starts over
+elsewhere. Work with checkpoints saves one when it is stopped, so it is stopped as late
+as is safe and resumes elsewhere. Work without them stays: a worker may run for many
+seconds longer than announced, and stopping the run would lose it.
 """
 
 from collections.abc import Iterator
@@ -13,13 +13,13 @@
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 
-# Before the worker may be gone: the order is on its way, the stop takes up to 0.4 s,
-# and its end must be listed and recorded.
+# How long before the worker may be gone its work is stopped: the order needs time to
+# arrive, the stop takes up to 0.4 s, and the end must be listed and recorded.
 EVACUATE_SECONDS = 1.0
 
 
 def find_evacuations(board: Board, durations: Durations, now: float) -> list[Unit]:
-    """Return the units that are to be stopped now, so that they lose nothing."""
+    """Return the units to stop now, so that they resume from a checkpoint."""
     found: dict[int, Unit] = {}
     for worker in board.workers.values():
         if worker.entry.leaving and worker.leaves_at - now < EVACUATE_SECONDS:
--- a/src/primrosestile/decisions/work/evicting.py
+++ b/src/primrosestile/decisions/work/evicting.py
@@ -1,17 +1,17 @@
-"""Where room is made for a unit, and what is stopped for that.
+"""Finds the workers on which a unit gets room, and what is stopped there.
 
-Load: tens of waiting units in one pass, each of which could have room made on any of
-hundreds of workers. Harm: a pass that takes long keeps the owner from its workers'
-leases and from its callers, so starts come late. What may be stopped on a worker, and
-at which cost, depends on little of the gainer, so it is found once for all that are
-alike; what can't be enough is told by sums.
+Load: tens of waiting units in one pass, each of which could get room on any of
+hundreds of workers. Harm: a long pass delays the owner's renewals of worker leases and
+its answers to callers, so starts come late. What may be stopped on a worker, and at
+which cost, depends on few properties of the gainer (the unit that gets the room), so it
+is computed once for all units alike; sums rule out workers that can't free enough.
 """
 
 import math
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.freeing import find_reluctance
+from primrosestile.decisions.work.freeing import find_late_stop_factor
 from primrosestile.decisions.work.placing import (
     Room,
     Rooms,
@@ -43,7 +43,7 @@
     """What may be stopped on one worker, the cheapest first.
 
     Attributes:
-        memory, accelerators: That the end of all of them would free.
+        memory, accelerators: What stopping all of them would free.
     """
 
     in_order: tuple[_Candidate, ...]
@@ -53,24 +53,25 @@
 
 @dataclass(frozen=True, slots=True)
 class _Offer:
-    """What makes room for one member on one worker."""
+    """The units to stop to make room for one member on one worker."""
 
     cost: float
     victims: tuple[Unit, ...]
 
 
-# Need, whether it fills or lasts, priority, and whether it is guaranteed.
+# Need, whether it is filling, whether it is lasting, priority, and whether entitled.
 _OfferKey = tuple[Need, bool, bool, int, bool]
-# Processor, memory and accelerators that are free.
+# Free processor, memory and accelerators.
 _Figures = tuple[int, int, int]
 
 
 class Evictions:
     """Finds what to stop within one pass.
 
-    With 176 workers a pass looks at tens of waiting units, each of which could have
-    room made on any of the workers. What may be stopped on a worker, and at which
-    cost, depends on the gainer's rank only, so it is found once for all of them.
+    With 176 workers a pass examines tens of waiting units, each of which could get
+    room on any of the workers. What may be stopped on a worker, and at which cost,
+    depends only on the gainer's priority, entitlement and whether it is lasting, so
+    it is computed once for all gainers that agree in these.
     """
 
     def __init__(
@@ -85,11 +86,11 @@
         self._candidates: dict[tuple[bool, int, bool], dict[str, _Candidates]] = {}
         self._victims: dict[str, list[_Candidate]] = {}
         self._costs: dict[Unit, float] = {}
-        # What room can be made where, as long as it looks as it did then.
+        # Offers by worker, each valid while the worker's free figures are unchanged.
         self._offers: dict[_OfferKey, dict[str, tuple[_Figures, _Offer | None]]] = {}
 
     def note_stopped(self, units: Iterable[Unit]) -> None:
-        """Forget what could be stopped on the workers of units that were."""
+        """Drop the cached offers of the workers on which units were stopped."""
         names = {member.worker for unit in units for member in unit.members}
         for offers in self._offers.values():
             for name in names:
@@ -108,7 +109,7 @@
     def list_offers(self, search: "_Search") -> dict[str, "_Offer | None"]:
         """Return the first offer of each room of a search.
 
-        Most of what waits is like what was looked at before in the same pass.
+        Cached: most waiting units are like one examined before in the same pass.
         """
         unit = search.unit
         step = unit.step
@@ -134,7 +135,7 @@
         return offers
 
     def find_candidates(self, gainer: Unit) -> dict[str, _Candidates]:
-        """Return what may be stopped for a unit, by worker, as far as it was asked."""
+        """Return the cached candidates for a unit, by worker."""
         key = (
             gainer.job.job_id in self._entitled,
             gainer.job.queue.priority,
@@ -165,7 +166,7 @@
         return _Candidates(tuple(found), memory, accelerators)
 
     def _list_victims(self, room: Room) -> list[_Candidate]:
-        """Return all that runs on a worker, the cheapest to stop first."""
+        """Return all units on a worker, the cheapest to stop first."""
         worker = room.worker
         name = worker.entry.worker
         known = self._victims.get(name)
@@ -174,9 +175,9 @@
         counts: dict[Unit, int] = {}
         for member in worker.members.values():
             counts[member.unit] = counts.get(member.unit, 0) + 1
-        reluctance = find_reluctance(worker, self.now)
+        late_stop_factor = find_late_stop_factor(worker, self.now)
         victims = [
-            _Candidate(unit, self._find_cost(unit) * reluctance, count)
+            _Candidate(unit, self._find_cost(unit) * late_stop_factor, count)
             for unit, count in counts.items()
         ]
         victims.sort(key=_get_cost)
@@ -184,7 +185,7 @@
         return victims
 
     def _find_cost(self, unit: Unit) -> float:
-        """Return what a unit costs, found once for all workers that it is on."""
+        """Return the cost of a unit, cached for all workers that it is on."""
         cost = self._costs.get(unit)
         if cost is None:
             cost = self._costs[unit] = find_cost(unit, self.now)
@@ -196,7 +197,7 @@
 
 
 class _Search:
-    """Makes room for one unit among some workers, where that costs the least."""
+    """Finds room for one unit on a group of workers at the lowest cost."""
 
     def __init__(self, evictions: Evictions, unit: Unit, group: Sequence[Room]) -> None:
         self._evictions = evictions
@@ -207,7 +208,7 @@
         self._candidates = evictions.find_candidates(unit)
 
     def run(self, limit: float) -> Eviction | None:
-        """Return what to stop for all members for less than a limit, or None."""
+        """Return what to stop for all members at a cost below the limit, or None."""
         offers = self._evictions.list_offers(self)
         cost = 0.0
         for _ in range(self.unit.size):
@@ -228,14 +229,14 @@
         return Eviction(chosen, cost, aged)
 
     def _own(self, name: str) -> Room:
-        """Return a room that may be changed; the caller's stays as it is."""
+        """Return a copy of a room that may be changed; the caller's is not changed."""
         if name not in self._changed:
             self._changed.add(name)
             self.rooms[name] = self.rooms[name].copy()
         return self.rooms[name]
 
     def _stop(self, victim: Unit) -> set[str]:
-        """Count a unit as stopped; return the workers that it leaves."""
+        """Count a unit as stopped; return the workers on which that frees room."""
         self._chosen[id(victim)] = victim
         touched = {member.worker for member in victim.members} & self.rooms.keys()
         give_back(victim, {name: self._own(name) for name in touched})
@@ -262,7 +263,7 @@
             memory + found.memory < need.memory
             or accelerators + found.accelerators < need.accelerators
         ):
-            # Nor would the end of all of them do.
+            # Stopping all of them would not free enough.
             return None
         for each in found.in_order:
             if each.unit.abandoned or id(each.unit) in self._chosen:
@@ -295,7 +296,7 @@
 
 
 def give_back(victim: Unit, rooms: Rooms) -> None:
-    """Count what a unit holds as free, as it will be once it has stopped."""
+    """Count what a unit uses as free, as it will be once it has stopped."""
     step = victim.step
     for member in victim.members:
         room = rooms.get(member.worker)
--- a/src/primrosestile/decisions/work/fitness.py
+++ b/src/primrosestile/decisions/work/fitness.py
@@ -1,59 +1,60 @@
-"""Whether the owner of the fleet does its work, or should give it to another process.
+"""Decides whether the owner of the fleet can do its work, or should resign.
 
-Renewing the ownership takes a few bytes; the work takes a link and a processor that
-carry the fleet. An owner whose VM can't do the work would keep it for good: jobs wait
-that nobody starts, cancellations that were accepted elsewhere are never heard, and what
-runs lapses. One would notice by an owner whose lease never ends beside jobs that never
-begin. So the owner measures its own work and gives the ownership up when the work isn't
-done though the store answers its small calls.
+Renewing the ownership takes a few bytes; the work needs a link and a processor that can
+serve the fleet. An owner whose VM can't do the work would otherwise keep the ownership
+for good: its lease never ends, jobs are not started, cancellations accepted elsewhere
+are never read, and leases of runs lapse. So the owner measures its own work, and gives
+up the ownership when the work isn't done although the store answers its small calls.
 
-Trouble that all processes share must not make the ownership go round, as each change
-costs the time in which nothing new starts. Three things prevent that: no age counts for
+Problems that all processes share must not make the ownership change again and again,
+since nothing new starts during a change. Three rules prevent that: no age counts for
 longer than the store has answered this process's renewals; each owner serves for a
-while before it may give up, half as long again after each ownership given up before it;
-and a process that gave up stands last for a pause that grows.
+minimum term before it may give up, half as long again after each ownership given up
+before it; and a process that gave up is the last to run for election, for a pause that
+grows.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-# Wishes that were not heard for this long. A list or a watch is given up after 1 to 2 s
-# and asked again 0.2 s later, so at least two have failed one after another. What was
-# cancelled may start nothing more after 3 s, and the owner starts nothing after 2 s.
+# Age of the caller requests that were last read. A list or a watch times out after 1 to
+# 2 s and is retried 0.2 s later, so at least two have failed in a row. A cancelled job
+# may start nothing more after 3 s, and the owner starts nothing after 2 s.
 WISHES_SECONDS = 4.0
-# A change of records that does not stand. A write is given up after 1.5 s and sent
-# again, so three have failed: of a store that loses a third of them, one in 27 does.
+# Age of a change of records that is not stored. A write times out after 1.5 s and is
+# sent again, so three have failed: with a store that loses a third, one in 27 cases.
 RECORDS_SECONDS = 5.0
-# Half of the 7 s of a worker's lease: what is not heard in that time may lapse in as
-# much again, about what a change of owner and its first looks take.
+# Half of the 7 s of a worker's lease: a worker that is silent for that long may lapse
+# in as much again, about what a change of owner and its first polls take.
 WORKER_SECONDS = 3.5
-# More of the workers are silent than a failure domain of three holds, and half of what
-# runs is about to lapse.
+# Below this, more workers are silent than one of three failure domains holds, and half
+# of all runs are about to lapse.
 LEAST_HEARD_SHARE = 0.5
-# Orders are given up after 0.45 s: with the loop this late their answers are too.
+# Orders time out after 0.45 s: with the loop this late, their answers are late too.
 LOOP_SECONDS = 0.4
-# Of calls to workers that answered others of our calls meanwhile. An order is sent
-# three times; at half, one run of eight is given up though its worker is well.
+# Share of the calls to workers that answered some of our calls meanwhile. An order is
+# sent three times; at half, one run of eight is given up though its worker is healthy.
 UNANSWERED_SHARE = 0.5
-# Fewer calls than this in the time they are counted over say nothing.
+# With fewer calls in the counted time, the share of unanswered ones is not used.
 LEAST_CALLS = 20
-# How long the same trouble has to last, so that one bad moment changes nothing.
+# How long a problem must last, so that a short one does not end the ownership.
 HOLD_SECONDS = 1.0
-# How long an owner serves at least: the first order is to come within 3 s.
+# Minimum term of an owner: its first order is due within 3 s.
 SERVE_SECONDS = 4.0
-# By what the serving grows with each owner that gave up. A change costs about a second
+# Factor on the minimum term for each owner that gave up. A change costs about a second
 # in which nothing new starts: a tenth of the time after three changes.
 SERVE_FACTOR = 1.5
-# To 45 s of serving, past which such trouble is no longer one of some VMs.
+# Up to a minimum term of 45 s; a problem that lasts longer is not one of single VMs.
 MOST_SERVE_STEPS = 6
-# How long a process that gave up stands last, the first time. It takes an owner 6 s to
-# find out that it can't do the work; were the pause not several times that, two poor
-# VMs would take turns. Standing last costs no more than 2 s if no other stands.
+# How long a process that gave up is the last to run for election, the first time. An
+# owner needs 6 s to detect that it can't do the work; if the pause were not several
+# times that, two weak VMs would alternate. Running last costs at most 2 s if no other
+# process runs.
 PAUSE_SECONDS = 20.0
-# The pause doubles up to 80 s, past which a neighbour's load or a full link is over.
+# The pause doubles up to 80 s; a noisy neighbour or a full link lasts no longer.
 MOST_PAUSE_DOUBLINGS = 2
-# An owner that was sound for this long shows that the fleet can be scheduled: longer
-# than it must serve, and the silence of a worker's lease and its end besides.
+# An owner that was healthy for longer than this shows that the fleet can be scheduled:
+# longer than its first minimum term plus a worker's silent lease and its end.
 SOUND_SECONDS = 20.0
 
 
@@ -69,16 +70,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """How the owner's work goes, as measured at one moment.
+    """The owner's work, as measured at one moment.
 
     Attributes:
-        wishes_age: Seconds since all wishes of that time were known.
+        wishes_age: Seconds since all caller requests in the store were last known.
         records_age: Seconds since the oldest change that is not in the store.
-        workers: How many are listed.
-        heard: How many of them answered within `WORKER_SECONDS`.
-        loop_delay: How late the event loop is in the mean, in seconds.
+        workers: Listed workers.
+        heard: Those of them that answered within `WORKER_SECONDS`.
+        loop_delay: Mean delay of the event loop, in seconds.
         calls: Calls to workers that answered some of them, in the last seconds.
-        unanswered: The share of them that wasn't answered, in the mean of the workers.
+        unanswered: The share of them that wasn't answered, averaged over the workers.
         store_answers: For how many seconds the store has answered each renewal.
         served: Seconds since the term began.
     """
@@ -95,7 +96,7 @@
 
 
 def find_trouble(work: Work) -> Trouble | None:
-    """Return what isn't done though the store answers, or None for sound work."""
+    """Return what isn't done though the store answers, or None if all is."""
     if min(work.wishes_age, work.store_answers) > WISHES_SECONDS:
         return Trouble.WISHES
     if min(work.records_age, work.store_answers) > RECORDS_SECONDS:
@@ -112,26 +113,26 @@
 
 
 def find_serving(given_up: int | None) -> float:
-    """Return how long an owner serves before it may give up, in seconds.
+    """Return the minimum term before an owner may give up, in seconds.
 
     Args:
-        given_up: How many owners before gave up with none sound since; None when
-            that is not known, which counts as many.
+        given_up: How many earlier owners gave up with no healthy one since; None when
+            that is not known, which counts as the maximum.
     """
     steps = MOST_SERVE_STEPS if given_up is None else min(given_up, MOST_SERVE_STEPS)
     return SERVE_SECONDS * SERVE_FACTOR**steps
 
 
 def find_pause(times: int) -> float:
-    """Return how long a process stands last that gave up so many times, in seconds."""
+    """Return for how many seconds a process that gave up runs for election last."""
     return PAUSE_SECONDS * 2.0 ** min(max(times - 1, 0), MOST_PAUSE_DOUBLINGS)
 
 
 class Fitness:
-    """Judges the owner's work again and again.
+    """Judges the owner's work over time.
 
     Attributes:
-        given_up: As for `find_serving`.
+        given_up: As for `find_minimum_term_seconds`.
     """
 
     def __init__(self) -> None:
@@ -157,6 +158,6 @@
         return trouble
 
     def is_proven(self, now: float) -> bool:
-        """Whether the work has been sound for long enough to forget what was before."""
+        """Whether the owner has been healthy for long enough to clear `given_up`."""
         since = self._sound_since
         return since is not None and now - since > SOUND_SECONDS
--- a/src/primrosestile/decisions/work/freeing.py
+++ b/src/primrosestile/decisions/work/freeing.py
@@ -1,11 +1,11 @@
-"""Room that is being freed: for whom it is held, and how long it is waited for.
+"""Holds room that is being freed for the unit for which work was stopped.
 
 Load: gangs for which work is stopped on several workers, some of which answer late or
-not at all for seconds. Harm: what is free already is taken by whoever comes next, and
-what isn't is waited for as if it came soon. The gang starts too late for its caller,
-and work is stopped for it a second time. So what was freed for a unit is held for it
-until it starts; a stop that stays unanswered isn't counted as room any more, and work
-is rather stopped where stops are answered.
+not at all for seconds. Harm: room that is already free goes to the next unit, and room
+that isn't is waited for as if it were freed soon. The gang starts too late for its
+caller, and work is stopped for it a second time. So room freed for a unit is held until
+it starts; a stop that stays unanswered no longer counts as room, and work is preferably
+stopped where stops are answered.
 """
 
 from collections.abc import Iterable
@@ -22,65 +22,65 @@
 )
 from primrosestile.decisions.work.units import Member, Unit, Worker
 
-# A stop is answered within 0.4 s, its end is listed and the next start recorded; one
-# that is lost on its way is sent again after 0.45 s.
+# A stop is answered within 0.4 s, then its end is listed and the next start recorded; a
+# stop that is lost is sent again after 0.45 s.
 LATE_STOP_SECONDS = 1.0
-# Room is held for a unit no longer, whatever comes between it and its start: a caller
-# of urgent work waits for about as long.
+# Longest time that room is held for a unit, whatever delays its start: a caller of
+# urgent work waits for about as long.
 HELD_SECONDS = 3.0
-# How long a worker that left a stop unanswered is left alone where others will do.
+# How long others are preferred to a worker that left a stop unanswered.
 LATE_REMEMBERED_SECONDS = 6.0
-# Such a worker's work counts as this much dearer to stop: if it answers at all, the
-# unit for which it is stopped has waited for as long as its own run takes.
+# Factor on the cost of stopping work on such a worker: if it answers at all, the unit
+# for which it is stopped has waited for as long as its own run takes.
 LATE_COST_FACTOR = 4.0
 
 
 def note_stopping(board: Board, now: float) -> None:
-    """Note since when each run is to end, and which workers leave that unanswered."""
+    """Record when each run was first to be stopped, and which workers are late."""
     for member in board.list_stopping():
         if member.stopping_at is None:
             member.stopping_at = now
-        elif is_late(member, now):
+        elif is_stop_late(member, now):
             board.workers[member.worker].stop_late_at = now
 
 
 def begin_stopping(unit: Unit, now: float) -> None:
-    """Note that a unit is to end from now on."""
+    """Record that a unit is being stopped from now on."""
     for member in unit.members:
         member.stopping_at = now
 
 
-def is_late(member: Member, now: float) -> bool:
-    """Whether a run should have ended by now, had its worker answered."""
+def is_stop_late(member: Member, now: float) -> bool:
+    """Whether a run has not ended in time after it was to be stopped."""
     since = member.stopping_at
     return since is not None and now - since > LATE_STOP_SECONDS
 
 
-def find_reluctance(worker: Worker, now: float) -> float:
-    """Return how much dearer than elsewhere it is to stop something on a worker."""
+def find_late_stop_factor(worker: Worker, now: float) -> float:
+    """Return the factor on the cost of stopping work on a worker."""
     if now - worker.stop_late_at > LATE_REMEMBERED_SECONDS:
         return 1.0
     return LATE_COST_FACTOR
 
 
 def add_stopping(board: Board, rooms: Rooms, now: float) -> Rooms:
-    """Return the rooms as they will be once everything that stops in time is gone."""
-    soon = copy_rooms(rooms)
+    """Return the rooms with the runs counted as gone whose stops aren't late."""
+    future_rooms = copy_rooms(rooms)
     for member in board.list_stopping():
-        room = soon.get(member.worker)
-        if room is not None and not is_late(member, now):
+        room = future_rooms.get(member.worker)
+        if room is not None and not is_stop_late(member, now):
             room.take(member.unit.step.need, member.unit.step.filling, -1)
-    return soon
+    return future_rooms
 
 
-def hold_freed(unit: Unit, workers: Iterable[str], now: float) -> None:
-    """Note on which workers room was freed for a unit."""
+def hold_freed_room(unit: Unit, workers: Iterable[str], now: float) -> None:
+    """Record the workers on which room is being freed for a unit."""
     unit.freed = tuple(workers)
     unit.freed_until = now + HELD_SECONDS
 
 
 class Holds:
-    """Keeps what was freed for waiting units out of a pass's rooms."""
+    """Excludes room that was freed for waiting units from a pass's rooms."""
 
     def __init__(self, pictures: tuple[Rooms, ...], now: float) -> None:
         self._pictures = pictures
@@ -88,7 +88,7 @@
         self._held: dict[int, Unit] = {}
 
     def hold(self, units: Iterable[Unit]) -> None:
-        """Hold for those units for which that is not given up."""
+        """Hold the room that was freed for units, unless its time has passed."""
         for unit in units:
             if not unit.freed or id(unit) in self._held:
                 continue
@@ -100,7 +100,7 @@
                 take_room(unit, room)
 
     def release(self, units: Iterable[Unit]) -> None:
-        """Count what is held for some units as free again."""
+        """Count the room that is held for units as free again."""
         for unit in units:
             if self._held.pop(id(unit), None) is not None:
                 for room in self._list_rooms(unit):
@@ -115,9 +115,11 @@
         ]
 
 
-def find_freed(unit: Unit, soon: Rooms, now: float) -> list[Worker] | None:
-    """Return the workers that are being freed for a unit, if it will fit there."""
-    freed = {name: soon[name] for name in unit.freed if name in soon}
+def find_freed_workers(
+    unit: Unit, future_rooms: Rooms, now: float
+) -> list[Worker] | None:
+    """Return the workers on which room is freed for a unit, if it will fit there."""
+    freed = {name: future_rooms[name] for name in unit.freed if name in future_rooms}
     return fill(unit, find_eligible(unit, freed, now)) if freed else None
 
 
--- a/src/primrosestile/decisions/work/mechanisms.py
+++ b/src/primrosestile/decisions/work/mechanisms.py
@@ -1,8 +1,8 @@
-"""What a pass is composed of, so that each mechanism can be taken away by itself.
+"""The mechanisms of a pass, each of which can be replaced by itself.
 
-A mechanism that is believed in and worth nothing costs every reader and every pass.
-Whether one is worth something shows only where it alone is replaced, on the same days:
-`scripts/bench ablation` does that, for which the pass takes its mechanisms from here.
+A mechanism without effect costs every reader and every pass. Its effect shows only when
+it alone is replaced on the same workloads: `scripts/bench ablation` does that, so the
+pass takes its mechanisms from here.
 """
 
 from collections.abc import Collection
@@ -12,42 +12,42 @@
 from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.ordering import Rank, RankKey
-from primrosestile.decisions.work.placing import Rooms, find_patience
+from primrosestile.decisions.work.placing import Rooms, find_locality_wait
 from primrosestile.decisions.work.preempting import may_stop
-from primrosestile.decisions.work.rescuing import Rescue, find_rescues
-from primrosestile.decisions.work.reserving import keep_room
+from primrosestile.decisions.work.rescuing import Rescue, find_stall_restarts
+from primrosestile.decisions.work.reserving import reserve_room
 from primrosestile.decisions.work.speeds import Speeds, find_slow
 from primrosestile.decisions.work.units import Unit
 
 
 class Order(Protocol):
-    """Says what waiting units are sorted by; lower goes first."""
+    """Gives the sort key of waiting units; lower goes first."""
 
     def __call__(self, rank: Rank, /) -> RankKey:
         """Return the key of a rank."""
         ...
 
 
-class Patience(Protocol):
-    """Says for how many seconds a unit waits for the rack where it is fastest."""
+class LocalityWait(Protocol):
+    """Gives for how many seconds a unit waits for the rack where it is fastest."""
 
     def __call__(self, unit: Unit, seconds: float, idle: bool) -> float:
-        """Return that, given its expected run time and whether its pool is idle."""
+        """Return these, given its expected run time and whether its pool is idle."""
         ...
 
 
-class Keeping(Protocol):
-    """Keeps room for a unit that does not fit yet."""
+class RoomReservation(Protocol):
+    """Reserves room for a unit that does not fit yet."""
 
     def __call__(
         self, unit: Unit, rooms: Rooms, durations: Durations, now: float
     ) -> bool:
-        """Keep it and return whether there is any to be kept."""
+        """Reserve it; return whether there is any to reserve."""
         ...
 
 
 class Permission(Protocol):
-    """Says whether a unit may be stopped for another one."""
+    """Decides whether a unit may be stopped for another one."""
 
     def __call__(
         self, victim: Unit, gainer: Unit, entitled: Collection[str], now: float
@@ -56,8 +56,8 @@
         ...
 
 
-class Rescuing(Protocol):
-    """Finds the units that stand still."""
+class StallFinding(Protocol):
+    """Finds the stalled units that should restart elsewhere."""
 
     def __call__(self, board: Board, durations: Durations, now: float) -> list[Rescue]:
         """Return them, each once."""
@@ -65,7 +65,7 @@
 
 
 class SlowFinding(Protocol):
-    """Finds the workers that urgent work rather does without."""
+    """Finds the workers that urgent work should avoid."""
 
     def __call__(
         self, board: Board, durations: Durations, speeds: Speeds, now: float
@@ -79,10 +79,10 @@
     """The parts of a pass that can be replaced one by one."""
 
     order: Order
-    patience: Patience
-    keeping: Keeping
+    patience: LocalityWait
+    keeping: RoomReservation
     permission: Permission
-    rescuing: Rescuing
+    rescuing: StallFinding
     slow_finding: SlowFinding
 
 
@@ -90,9 +90,9 @@
     """Return the mechanisms that the scheduler uses."""
     return Mechanisms(
         order=Rank.make_key,
-        patience=find_patience,
-        keeping=keep_room,
+        patience=find_locality_wait,
+        keeping=reserve_room,
         permission=may_stop,
-        rescuing=find_rescues,
+        rescuing=find_stall_restarts,
         slow_finding=find_slow,
     )
--- a/src/primrosestile/decisions/work/ordering.py
+++ b/src/primrosestile/decisions/work/ordering.py
@@ -1,14 +1,13 @@
 """Which waiting unit goes first.
 
 Load: bursts in which several times as much waits as there is room for. Harm: in
-the order of arrival, urgent work with two seconds of slack waits behind renders
-that have twenty. So urgent work goes first, that within its organisation's
-guarantee before the rest, and then by the queues' priorities what has the least
-slack against its objective. By slack alone, tables with an objective of twenty
-seconds went before rebuilds that waited for forty. Work that is late already goes
-behind what can still be in time: it would make that late as well, one after
-another. Work whose objective is past by
-so much that its caller gains nothing any more goes last.
+order of arrival, urgent work with two seconds of slack waits behind renders that have
+twenty. So urgent work goes first, work within its organisation's guarantee before the
+rest; then the order is by queue priority, and then by least slack against the
+objective. By slack alone, tables with an objective of twenty seconds went before
+rebuilds that waited for forty. Work that is already late goes behind work that can
+still be in time, or it would make that late as well, one after another. Work so far
+past its objective that the result is of no use to its caller goes last.
 """
 
 from collections import Counter
@@ -19,22 +18,23 @@
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.units import Job, Unit
 
-# Past this many times its objective a job's answer is of no use to its caller.
+# Past this many times its objective, a job's result is of no use to its caller.
 USELESS_AFTER_OBJECTIVES = 3.0
 
 
-# What units are sorted by.
+# Sort key of units; lower goes first.
 RankKey = tuple[bool | int | float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Rank:
-    """Where a unit stands in the queue; lower goes first.
+    """The rank of a waiting unit; lower goes first.
 
     Attributes:
         entitled: It is urgent, and within its organisation's guarantee.
-        lasting: Its tasks serve users of their own all the time; each second in
-            which one is away counts, however long ago its job was accepted.
+        useless: It would end too late to be of use to its caller.
+        lasting: Its tasks are services; each second in which one is not running
+            counts, however long ago its job was accepted.
         slack: Seconds that it can wait and still meet its objective.
     """
 
@@ -51,11 +51,11 @@
 
     @property
     def late(self) -> bool:
-        """Whether it can't meet its objective any more."""
+        """Whether it can no longer meet its objective."""
         return self.slack < 0
 
     def make_key(self) -> RankKey:
-        """Return what units are sorted by."""
+        """Return the sort key."""
         return (
             not self.entitled,
             not self.lasting,
@@ -68,14 +68,14 @@
 
 
 def find_objective_seconds(job: Job, durations: Durations) -> float:
-    """Return how long a job may take from its acceptance."""
+    """Return how many seconds a job may take from its acceptance."""
     queue = job.queue
     chain = durations.guess_chain(job.submission.queue, job.submission.steps)
     return queue.stretch * chain + queue.objective_seconds
 
 
 def rank_unit(unit: Unit, now: float, entitled: bool, durations: Durations) -> Rank:
-    """Return where a waiting unit stands."""
+    """Return the rank of a waiting unit."""
     job = unit.job
     if unit.step.lasting:
         return Rank(entitled, False, job.queue.priority, 0.0, lasting=True)
@@ -99,14 +99,14 @@
     durations: Durations,
     make_key: Callable[[Rank], RankKey] = Rank.make_key,
 ) -> list[tuple[Rank, Unit]]:
-    """Return waiting units with their ranks, the most pressing first.
+    """Return waiting units with their ranks, the most urgent first.
 
     Args:
-        units: All that wait.
+        units: All waiting units.
         now: On the loop's clock.
         entitled: Jobs within their organisations' guarantees.
-        durations: How long runs take.
-        make_key: What they are sorted by.
+        durations: Expected run times.
+        make_key: Makes the sort key of a rank.
     """
     ranked = [
         (rank_unit(unit, now, unit.job.job_id in entitled, durations), unit)
@@ -117,11 +117,10 @@
 
 
 def find_entitled(board: Board) -> set[str]:
-    """Return the urgent jobs that lie within their organisations' guarantees.
+    """Return the urgent jobs that are within their organisations' guarantees.
 
-    Counted in the order of acceptance over all that have not ended, whether they
-    run or wait: a job that came later must not take the guarantee of one that
-    still waits.
+    Counted in the order of acceptance over all jobs that have not ended, running or
+    waiting: a later job must not take the guarantee of one that still waits.
     """
     used: Counter[str] = Counter()
     entitled = set()
@@ -141,7 +140,7 @@
 
 
 def count_accelerators(job: Job) -> int:
-    """Return the most accelerators that one step of a job takes."""
+    """Return the most accelerators that one step of a job needs."""
     return max(
         (step.count * step.need.accelerators for step in job.submission.steps),
         default=0,
--- a/src/primrosestile/decisions/work/pacing.py
+++ b/src/primrosestile/decisions/work/pacing.py
@@ -1,12 +1,12 @@
-"""At which share of their speed filling tasks work beside tasks that serve.
-
-Load: batch work that fills what lasting services leave unused, on workers whose own
-users' load changes within seconds. Harm: the fillers disturb the services by amounts
-that nobody declares, and the services' users wait too long; four seconds of that on
-end break what operators promise them. A worker's word on a service is at most a second
-old. So the fillers stand still at once when a service is over its target, are halved
-when it comes near, and go back up in small steps only after it has been well for a
-while: to be wrong upwards costs users, to be wrong downwards some batch work.
+"""Throttles filling tasks to a share of their speed beside services.
+
+Load: batch work that fills what lasting services leave unused, on workers whose service
+load changes within seconds. Harm: the filling tasks slow the services by undeclared
+amounts, and the services' users wait too long; four seconds of that in a row break what
+operators promise them. A worker's report on a service is at most a second old. So the
+filling tasks are paused at once when a service is over its target, halved when it comes
+near, and raised in small steps only after it has been well below for some time: too
+high a pace costs users, too low a pace only some batch work.
 """
 
 from collections.abc import Iterator
@@ -21,19 +21,20 @@
 )
 
 FULL_PERCENT = 100
-# Shares of the target from which fillers are halved, and below which they go up.
+# Shares of the target from which filling tasks are halved, and below which they are
+# raised.
 NEAR_SHARE = 0.8
 WELL_SHARE = 0.6
 STEP_PERCENT = 20
-# Between steps up: two looks at the worker, so that the last step has shown.
+# Between steps up: two polls of the worker, so that the last step's effect is seen.
 UP_SECONDS = 2.0
-# Between halvings: one look.
+# Between halvings: one poll.
 DOWN_SECONDS = 0.9
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """A filling task is to work at a share of its speed."""
+    """The share of its speed, in percent, at which a filling task is to work."""
 
     member: Member
     percent: int
@@ -45,11 +46,11 @@
     for worker in board.workers.values():
         fillers = list(_list_fillers(worker))
         if fillers:
-            strain = find_strain(worker)
+            target_share = find_target_share(worker)
             paces += [
                 Pace(member, percent)
                 for member in fillers
-                if (percent := choose_percent(member, strain, now)) != member.pace
+                if (percent := choose_percent(member, target_share, now)) != member.pace
             ]
     return paces
 
@@ -61,10 +62,10 @@
             yield member
 
 
-def find_strain(worker: Worker) -> float | None:
+def find_target_share(worker: Worker) -> float | None:
     """Return the slowest service's time as a share of its target.
 
-    None where no service runs: nobody is disturbed there.
+    None where no service with a target runs, as there is nothing to slow down.
     """
     shares = [
         member.usage / 1000 / member.unit.step.target_seconds
@@ -74,16 +75,16 @@
     return max(shares, default=None)
 
 
-def choose_percent(member: Member, strain: float | None, now: float) -> int:
+def choose_percent(member: Member, target_share: float | None, now: float) -> int:
     """Return the share at which a filling task is to work from now on."""
-    if strain is None:
+    if target_share is None:
         return FULL_PERCENT
     pace = member.pace
     since = now - member.paced_at
-    if strain >= 1.0 or pace == UNKNOWN_PACE:
+    if target_share >= 1.0 or pace == UNKNOWN_PACE:
         return 0
-    if strain >= NEAR_SHARE:
+    if target_share >= NEAR_SHARE:
         return pace // 2 if since >= DOWN_SECONDS else pace
-    if strain < WELL_SHARE and since >= UP_SECONDS:
+    if target_share < WELL_SHARE and since >= UP_SECONDS:
         return min(FULL_PERCENT, pace + STEP_PERCENT)
     return pace
--- a/src/primrosestile/decisions/work/placing.py
+++ b/src/primrosestile/decisions/work/placing.py
@@ -1,11 +1,11 @@
-"""Where a unit goes.
-
-Load: gangs of up to dozens of members that take one to eight accelerators each,
-among single tasks of one. Harm: accelerators left over in ones and twos on every
-worker host no whole-worker task. So a unit goes where it leaves the least over,
-and a gang fills workers that are in use before it opens a free one. A gang bound
-to one rack, or a task whose data lies in a rack, takes several times as long
-elsewhere, so it waits for that rack for a while before it goes elsewhere.
+"""Places units on workers.
+
+Load: gangs of up to dozens of members with one to eight accelerators each, among
+single tasks of one. Harm: fragmentation; one or two accelerators left on every worker
+host no whole-worker task. So a unit goes where it leaves the least over, and a gang
+fills workers that are in use before an empty one. A gang bound to one rack, or a task
+whose data is in a rack, takes several times as long elsewhere, so it waits for that
+rack for some time (the locality wait).
 """
 
 import math
@@ -22,25 +22,25 @@
 from primrosestile.decisions.work.units import Unit, Worker
 from primrosestile.state.work import Need
 
-# Away from its rack a task takes three times as long, so waiting pays for up to
-# twice its run time, and then it is late either way. By run times as learned, since
-# callers' estimates may be off by a factor of eight.
-FAR_PATIENCE_FACTOR = 2.0
-FAR_PATIENCE_SECONDS = (1.0, 20.0)
-# Urgent work is late after half its run time and of no use after 3.5 times that.
-URGENT_PATIENCE_FACTOR = 1.5
-# While less than this share of a pool's accelerators is in use nobody else wants what
-# a run away from its rack holds for longer, and operators promise that nothing waits
-# for three seconds beside room for it twice over.
+# Outside its rack a task takes three times as long, so waiting pays for up to twice its
+# run time; after that it is late either way. Uses learned run times, since callers'
+# estimates may be off by a factor of eight.
+LOCALITY_WAIT_FACTOR = 2.0
+LOCALITY_WAIT_BOUNDS_SECONDS = (1.0, 20.0)
+# Urgent work is late after waiting half its run time, and of no use after 3.5 times it.
+URGENT_LOCALITY_WAIT_FACTOR = 1.5
+# While less than this share of a pool's accelerators is in use, no other unit needs
+# what a run outside its rack occupies for longer, and operators promise that nothing
+# waits for three seconds while there is twice the room for it.
 IDLE_SHARE = 0.5
-IDLE_PATIENCE_SECONDS = 2.0
-# Tasks that fit where they need nothing that is counted.
-MANY_TASKS = 1_000
+IDLE_LOCALITY_WAIT_SECONDS = 2.0
+# Tasks that fit if they need nothing that is counted.
+UNBOUNDED_TASKS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """Room that is kept for a unit until it can start."""
+class Reservation:
+    """Room that is reserved for a unit until it can start."""
 
     need: Need
     filling: bool
@@ -50,16 +50,16 @@
 
 @dataclass(slots=True)
 class Room:
-    """What is free on one worker as a pass goes on; may be below zero.
+    """What is free on one worker during a pass; may be below zero.
 
     Attributes:
-        kept: What is kept for others; it is taken from the figures.
-        wanted: A gang waits for this worker. Urgent work, which goes before what
-            is kept, takes another one where it can: a gang whose workers were
-            taken one by one waited for over thirty seconds.
         steps: Tasks of each step with a bound on their number here: those that
-            the worker has, and those that this pass gave it. Were the latter left
-            out, one pass would put a whole step on one worker.
+            the worker has, and those that this pass gave it. Without the latter,
+            one pass would put a whole step on one worker.
+        reservations: Room reserved for others; already subtracted from the figures.
+        is_reserved: A waiting unit has reserved this worker. Urgent work, which
+            goes before reservations, takes another one if it can: a gang whose
+            workers were taken one by one waited for over thirty seconds.
         occupied: Something runs there.
         suspected: A worker has crashed under something that runs there.
         closed: Something there may crash the worker: nothing else is started.
@@ -70,8 +70,8 @@
     memory: int
     accelerators: int
     steps: dict[tuple[str, int, int], int] = field(default_factory=dict)
-    kept: list[Kept] = field(default_factory=list)
-    wanted: bool = False
+    reservations: list[Reservation] = field(default_factory=list)
+    is_reserved: bool = False
     occupied: bool = False
     suspected: bool = False
     closed: bool = False
@@ -91,27 +91,29 @@
             self.memory,
             self.accelerators,
             self.steps.copy(),
-            self.kept.copy(),
-            self.wanted,
+            self.reservations.copy(),
+            self.is_reserved,
             self.occupied,
             self.suspected,
             self.closed,
         )
 
-    def keep(self, need: Need, filling: bool, count: int, until: float) -> None:
-        """Keep room for a unit that can't start before a time."""
+    def reserve(self, need: Need, filling: bool, count: int, until: float) -> None:
+        """Reserve room for a unit that can't start before a time."""
         self.take(need, filling, count)
-        self.kept.append(Kept(need, filling, count, until))
+        self.reservations.append(Reservation(need, filling, count, until))
 
-    def lend(self, ends_at: float) -> "Room":
-        """Return the room for work that ends before what is kept is needed."""
-        if not self.kept or not any(each.until >= ends_at for each in self.kept):
+    def find_backfill_room(self, ends_at: float) -> "Room":
+        """Return the room for work that ends before reserved room is needed."""
+        if not self.reservations or not any(
+            each.until >= ends_at for each in self.reservations
+        ):
             return self
-        lent = self.copy()
-        for each in self.kept:
+        backfill_room = self.copy()
+        for each in self.reservations:
             if each.until >= ends_at:
-                lent.take(each.need, each.filling, -each.count)
-        return lent
+                backfill_room.take(each.need, each.filling, -each.count)
+        return backfill_room
 
 
 Rooms = dict[str, Room]
@@ -120,10 +122,10 @@
 def count_tasks(
     need: Need, filling: bool, processor: int, memory: int, accelerators: int
 ) -> int:
-    """Return how many tasks of a need fit into what is free."""
-    # Asked some thousand times in a pass over 176 workers: no list is built, and
-    # nothing is called.
-    most = MANY_TASKS
+    """Return how many tasks with a need fit into what is free."""
+    # Called some thousand times in a pass over 176 workers, so it builds no list and
+    # makes no calls.
+    most = UNBOUNDED_TASKS
     if need.accelerators:
         most = accelerators // need.accelerators
     if need.memory:
@@ -170,7 +172,7 @@
 
 
 def list_suitable(unit: Unit, rooms: Rooms) -> list[Room]:
-    """Return the rooms of its pool's workers that carry a unit's label."""
+    """Return the open rooms of workers with a unit's pool and label."""
     pool = unit.pool
     label = unit.step.label
     return [
@@ -185,8 +187,9 @@
 def find_eligible(unit: Unit, rooms: Rooms, now: float) -> list[Room]:
     """Return the rooms of workers on which a unit's tasks are allowed.
 
-    Workers on which a run of it failed are left out while the others could hold it:
-    with one worker of its label, a task that failed once would never start again.
+    Workers on which a run of it failed are left out only if the others could hold it:
+    otherwise, with one worker of its label, a task that failed once would never start
+    again.
     """
     allowed = list_suitable(unit, rooms)
     if unit.crashes and awaits_isolation(unit, now):
@@ -213,7 +216,7 @@
 
 
 def find_idle_pools(board: Board) -> set[str]:
-    """Return the pools of which less than half is in use."""
+    """Return the pools of whose accelerators less than half are in use."""
     used: Counter[str] = Counter()
     capacity: Counter[str] = Counter()
     for worker in board.workers.values():
@@ -222,20 +225,20 @@
     return {pool for pool in capacity if used[pool] < IDLE_SHARE * capacity[pool]}
 
 
-def find_patience(unit: Unit, seconds: float, idle: bool) -> float:
-    """Return how long a unit waits for the rack where it runs fastest.
+def find_locality_wait(unit: Unit, seconds: float, idle: bool) -> float:
+    """Return how many seconds a unit waits for the rack where it runs fastest.
 
     Args:
         unit: To be placed.
-        seconds: How long its run is expected to take there.
-        idle: Whether much of its pool is.
+        seconds: Expected run time there.
+        idle: Whether its pool is one of `find_idle_pools`.
     """
     if idle:
-        return IDLE_PATIENCE_SECONDS
-    factor = FAR_PATIENCE_FACTOR
+        return IDLE_LOCALITY_WAIT_SECONDS
+    factor = LOCALITY_WAIT_FACTOR
     if unit.job.queue.priority == 0:
-        factor = URGENT_PATIENCE_FACTOR
-    low, high = FAR_PATIENCE_SECONDS
+        factor = URGENT_LOCALITY_WAIT_FACTOR
+    low, high = LOCALITY_WAIT_BOUNDS_SECONDS
     return min(high, max(low, factor * seconds))
 
 
@@ -245,7 +248,7 @@
     now: float,
     seconds: float,
     slow: Collection[str] = (),
-    patience: float = 0.0,
+    locality_wait: float = 0.0,
 ) -> list[Worker] | None:
     """Return a worker for each member, or None when it must wait.
 
@@ -255,31 +258,31 @@
         unit: To be placed.
         rooms: What is free.
         now: On the loop's clock.
-        seconds: How long its run is expected to take: room that is kept for
-            others until later may be used meanwhile.
-        slow: Workers on which urgent work is late; it goes there last, but sooner
-            than it waits.
-        patience: For how many seconds it waits for the rack where it is fastest.
+        seconds: Expected run time; room that is reserved for others for later than
+            its end may be backfilled.
+        slow: Workers on which urgent work is late; it goes there only if it would
+            wait otherwise.
+        locality_wait: For how many seconds it waits for the rack where it is fastest.
     """
     ends_at = now + seconds
     eligible = [
-        room.lend(ends_at) if room.kept else room
+        room.find_backfill_room(ends_at) if room.reservations else room
         for room in find_eligible(unit, rooms, now)
     ]
-    # Most of what waits fits nowhere; that is told before any rack is looked at.
+    # Most waiting units fit nowhere; this is checked before any rack is examined.
     if sum(count for count, _ in list_fitting(unit, eligible)) < unit.size:
         return None
     waited = now - (unit.ready_at or now)
-    patient = waited < patience
+    patient = waited < locality_wait
     if unit.crashes:
-        # Two suspects on one worker would both be suspected of its next crash.
+        # With two suspects on one worker, its next crash would count for both.
         apart = [room for room in eligible if not room.suspected]
         workers = _place_in(unit, apart, patient)
         if workers is not None:
             return workers
     if unit.job.queue.priority == 0:
         fast = [room for room in eligible if room.worker.name not in slow]
-        for group in ([room for room in fast if not room.wanted], fast):
+        for group in ([room for room in fast if not room.is_reserved], fast):
             workers = _place_in(unit, group, patient)
             if workers is not None:
                 return workers
@@ -299,7 +302,7 @@
 def list_groups(
     unit: Unit, eligible: Sequence[Room], patient: bool
 ) -> list[list[Room]]:
-    """Return sets of rooms in the order in which they are to be tried."""
+    """Return groups of rooms in the order in which they are to be tried."""
     step = unit.step
     racks: dict[str, list[Room]] = {}
     for room in eligible:
@@ -308,7 +311,7 @@
     if step.data_rack in racks:
         groups.append(racks[step.data_rack])
     elif step.one_rack and unit.size > 1:
-        # The rack that would be left with the least: others stay whole.
+        # Best fit: the rack with the least free room first, so that others stay whole.
         groups += sorted(racks.values(), key=_count_free)
     else:
         return [list(eligible)]
@@ -318,7 +321,7 @@
 
 
 def list_racks(unit: Unit, eligible: Sequence[Room]) -> list[list[Room]]:
-    """Return the sets of rooms within which a unit runs at its full speed."""
+    """Return the groups of rooms within which a unit runs at full speed."""
     step = unit.step
     racks: dict[str, list[Room]] = {}
     for room in eligible:
@@ -338,7 +341,7 @@
 
 
 def could_hold(unit: Unit, group: Sequence[Room]) -> bool:
-    """Whether a set of workers could hold a unit, were they empty."""
+    """Whether a group of workers could hold a unit if they were empty."""
     step = unit.step
     wanted = unit.size
     count = 0
@@ -373,12 +376,12 @@
 
 def list_fitting(unit: Unit, rooms: Iterable[Room]) -> list[tuple[int, Room]]:
     """Return the rooms that can take a member of a unit now, and how many."""
-    # What isn't needed may be lacking altogether.
+    # Free amounts may be below zero; that is no obstacle where nothing is needed.
     accelerators = unit.step.need.accelerators or -math.inf
     memory = unit.step.need.memory or -math.inf
     fitting = []
     for room in rooms:
-        # Most rooms of a busy fleet lack these; told without a call.
+        # Most rooms of a busy fleet lack these; checked here to save a call.
         if room.accelerators < accelerators or room.memory < memory:
             continue
         count = count_allowed(unit, room)
@@ -393,7 +396,7 @@
 
 
 def take_rooms(unit: Unit, workers: Iterable[Worker], rooms: Rooms) -> None:
-    """Count a unit's members in, so that later units of the pass see it."""
+    """Take the room of a unit's members, so that later units of the pass see it."""
     for worker in workers:
         room = rooms.get(worker.name)
         if room is not None:
@@ -401,7 +404,7 @@
 
 
 def take_room(unit: Unit, room: Room) -> None:
-    """Count one member of a unit in."""
+    """Take the room of one member of a unit."""
     room.take(unit.step.need, unit.step.filling)
     room.occupied = True
     if unit.crashes:
--- a/src/primrosestile/decisions/work/planning.py
+++ b/src/primrosestile/decisions/work/planning.py
@@ -1,4 +1,4 @@
-"""One pass over all that waits: what starts where, and what is stopped for it."""
+"""One pass over all waiting units: what starts where, and what is stopped for it."""
 
 from dataclasses import dataclass
 
@@ -10,8 +10,8 @@
     Holds,
     add_stopping,
     begin_stopping,
-    find_freed,
-    hold_freed,
+    find_freed_workers,
+    hold_freed_room,
     note_stopping,
 )
 from primrosestile.decisions.work.mechanisms import Mechanisms, make_mechanisms
@@ -29,20 +29,20 @@
 from primrosestile.decisions.work.reserving import (
     RESERVED_UNITS,
     could_start_before,
-    hold_claim,
+    count_reservation,
 )
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Unit, Worker
 
-# An eviction that throws away less than this is made at once: what a small urgent
-# job itself takes.
+# An eviction that wastes less than this is made at once: what a small urgent job itself
+# takes.
 CHEAP_CORE_SECONDS = 100.0
-# Guaranteed work must have begun 2.9 s after its acceptance. A stop and the start
-# after it take half a second, and an expectation may be wrong by as much again.
+# Guaranteed work must start within 2.9 s of its acceptance. A stop and the start after
+# it take half a second, and an expected end may be wrong by as much again.
 RECLAIM_WAIT_SECONDS = 1.5
-# Units looked at in one pass, so that a full queue costs it a few milliseconds.
-LOOK_LIMIT = 200
-# They hold nothing, so all passes share them.
+# Units examined in one pass, so that a full queue costs it only a few milliseconds.
+MAX_UNITS_EXAMINED = 200
+# Stateless, so all passes share them.
 MECHANISMS = make_mechanisms()
 
 
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """A unit that is stopped, for whom, and what that throws away.
+    """A unit that is stopped, and the gainer, the unit that gets its room.
 
     Attributes:
-        cost: Core-seconds, of all that is stopped for the same unit.
-        again: Work was stopped for the same unit before, and it did not start.
+        cost: Wasted core-seconds of all units stopped for the gainer in this pass.
+        again: Work was stopped for the gainer before, and it did not start.
     """
 
     unit: Unit
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What to do now."""
+    """The decisions of one pass."""
 
     starts: tuple[Assignment, ...]
     stops: tuple[Stop, ...]
@@ -86,7 +86,7 @@
     now: float,
     mechanisms: Mechanisms = MECHANISMS,
 ) -> Plan:
-    """Decide on every waiting unit, the most pressing first."""
+    """Decide on the waiting units, the most urgent first."""
     return _Pass(board, durations, speeds, now, mechanisms).run()
 
 
@@ -94,8 +94,8 @@
     """One pass.
 
     Attributes:
-        rooms: What is free now, less what this pass gave away or keeps.
-        soon: The same, with what is being stopped counted as free.
+        rooms: What is free now, less what this pass assigned or reserved.
+        future_rooms: The same, with what is being stopped counted as free.
     """
 
     def __init__(
@@ -116,10 +116,10 @@
         self.idle_pools = find_idle_pools(board)
         self.rooms = make_rooms(board, now)
         self.waiting = board.list_waiting(now)
-        _mark_wanted(self.waiting, self.rooms)
+        _mark_reserved(self.waiting, self.rooms)
         note_stopping(board, now)
-        self.soon = add_stopping(board, self.rooms, now)
-        self.holds = Holds((self.rooms, self.soon), now)
+        self.future_rooms = add_stopping(board, self.rooms, now)
+        self.holds = Holds((self.rooms, self.future_rooms), now)
         self.starts: list[Assignment] = []
         self.stops: list[Stop] = []
         self.rescues: list[Rescue] = []
@@ -127,15 +127,15 @@
         self.blocked: list[Unit] = []
 
     def run(self) -> Plan:
-        """Return what to do."""
+        """Return the decisions."""
         self.holds.hold(self.waiting)
-        self._rescue()
+        self._restart_stalled()
         held = [
             each for each in self.waiting if each.freed and not self._is_entitled(each)
         ]
-        # Units of one step are alike: if one can't go, none of the others can.
+        # Units of one step are alike: if one can't start, none of the others can.
         waiting: set[tuple[object, ...]] = set()
-        looked = 0
+        examined = 0
         ranked = rank_units(
             self.waiting,
             self.now,
@@ -150,24 +150,24 @@
                 continue
             if not rank.entitled and self.blocked:
                 for blocked in self.blocked:
-                    self._keep(blocked)
+                    self._reserve(blocked)
                 self.blocked = []
-            looked += 1
-            if looked > LOOK_LIMIT:
+            examined += 1
+            if examined > MAX_UNITS_EXAMINED:
                 break
             if not self._start_beside(rank, unit, held):
                 waiting.add(likeness)
         return Plan(tuple(self.starts), tuple(self.stops), tuple(self.rescues))
 
-    def _rescue(self) -> None:
-        """Stop units of which a member stands still, where they can go on at once.
+    def _restart_stalled(self) -> None:
+        """Stop units with a stalled member if they can restart elsewhere at once.
 
-        Their patience for a rack begins anew: a gang of 1.3 s that went to two racks
-        since it had waited long enough took 4.2 s there.
+        Their locality wait starts over: a gang of 1.3 s that went to two racks because
+        it had waited long enough took 4.2 s there.
         """
         for rescue in self.mechanisms.rescuing(self.board, self.durations, self.now):
             unit = rescue.unit
-            elsewhere = copy_rooms(self.soon)
+            elsewhere = copy_rooms(self.future_rooms)
             give_back(unit, elsewhere)
             elsewhere.pop(rescue.worker.name, None)
             began = unit.ready_at
@@ -179,21 +179,21 @@
             self.rescues.append(rescue)
             unit.rescues += 1
             self.board.abandon(unit)
-            give_back(unit, self.soon)
-            take_rooms(unit, workers, self.soon)
+            give_back(unit, self.future_rooms)
+            take_rooms(unit, workers, self.future_rooms)
             self.rooms.pop(rescue.worker.name, None)
-            self.soon.pop(rescue.worker.name, None)
+            self.future_rooms.pop(rescue.worker.name, None)
 
     def _is_entitled(self, unit: Unit) -> bool:
         return unit.job.job_id in self.entitled
 
     def _start_beside(self, rank: Rank, unit: Unit, held: list[Unit]) -> bool:
-        """Start a unit, guaranteed work where nothing is held for others if it can.
+        """Start a unit; guaranteed work takes held room only if nothing else is free.
 
         Args:
             rank: Of the unit.
             unit: To be started.
-            held: For which room is held; guaranteed work goes before them.
+            held: Units that have held room and are not guaranteed.
         """
         if not rank.entitled or not held:
             return self._start(rank, unit)
@@ -211,14 +211,14 @@
             return False
         self.starts.append(Assignment(unit, tuple(workers), rank))
         take_rooms(unit, workers, self.rooms)
-        take_rooms(unit, workers, self.soon)
+        take_rooms(unit, workers, self.future_rooms)
         return True
 
     def _start(self, rank: Rank, unit: Unit) -> bool:
-        """Start a unit, or have room freed or kept for it.
+        """Start a unit, or free or reserve room for it.
 
         Returns:
-            Whether another unit of the same step may do as well.
+            Whether other units of the same step are worth examining.
         """
         self.holds.release([unit])
         if self._start_now(rank, unit):
@@ -226,11 +226,11 @@
         if self._may_evict(rank) and self._free_room(unit, rank):
             return rank.urgent
         if rank.entitled:
-            # Room is kept for it against what is not within a guarantee only.
+            # Reserved later, so that only units outside guarantees make way for it.
             self.blocked.append(unit)
         elif rank.urgent or self.reserved < RESERVED_UNITS:
             self.reserved += not rank.urgent
-            self._keep(unit)
+            self._reserve(unit)
         return False
 
     def _place(self, unit: Unit, rooms: Rooms) -> list[Worker] | None:
@@ -239,34 +239,35 @@
         patience = self.mechanisms.patience(unit, seconds, idle)
         return place(unit, rooms, self.now, seconds, self.slow, patience)
 
-    def _keep(self, unit: Unit) -> None:
-        """Keep room for a unit, now and in what is being freed.
+    def _reserve(self, unit: Unit) -> None:
+        """Reserve room for a unit, in what is free and in what is being freed.
 
-        Kept only in what is free now, work would be stopped for a unit further
-        back, which then could not have the room.
+        If it were reserved only in what is free now, work would be stopped for a
+        lower-ranked unit, which then could not have the room.
         """
         if self.mechanisms.keeping(unit, self.rooms, self.durations, self.now):
-            hold_claim(unit, self.soon, self.now)
+            count_reservation(unit, self.future_rooms, self.now)
 
     def _may_evict(self, rank: Rank) -> bool:
         """Whether something may be stopped for a unit.
 
-        Urgent work may always have that. Other work may stop what has a lower
-        priority and loses next to nothing, while it can be in time itself. Were it
-        stopped only in the last seconds of that, gangs would find too little.
+        For urgent work and services always, unless they are useless by now. Other work
+        may stop what has a lower priority and loses almost nothing, for as long as it
+        can be in time itself; with stops only in the last seconds before it is late,
+        gangs would find too little room.
         """
         if rank.urgent or rank.lasting:
             return not rank.useless
         return not rank.late
 
     def _free_room(self, unit: Unit, rank: Rank) -> bool:
-        """Keep the room that is being freed for a unit, or have more freed."""
-        workers = find_freed(unit, self.soon, self.now)
+        """Take room that is being freed for a unit, or have more freed."""
+        workers = find_freed_workers(unit, self.future_rooms, self.now)
         if workers is None:
             unit.freed = ()
-            workers = self._place(unit, self.soon)
+            workers = self._place(unit, self.future_rooms)
         if workers is None:
-            eviction = self.evictions.find(unit, self.soon)
+            eviction = self.evictions.find(unit, self.future_rooms)
             if eviction is None or self._should_wait(unit, rank, eviction):
                 return False
             seconds = self.durations.guess_unit(unit)
@@ -278,19 +279,19 @@
                 self.stops.append(Stop(victim, unit, eviction.cost, again))
                 self.board.abandon(victim)
                 begin_stopping(victim, self.now)
-                give_back(victim, self.soon)
+                give_back(victim, self.future_rooms)
             self.evictions.note_stopped(eviction.units)
-            workers = self._place(unit, self.soon)
+            workers = self._place(unit, self.future_rooms)
             if workers is not None:
-                hold_freed(unit, (worker.name for worker in workers), self.now)
+                hold_freed_room(unit, (worker.name for worker in workers), self.now)
         if workers is None:
             return False
-        take_rooms(unit, workers, self.soon)
+        take_rooms(unit, workers, self.future_rooms)
         take_rooms(unit, workers, self.rooms)
         return True
 
     def _should_wait(self, unit: Unit, rank: Rank, eviction: Eviction) -> bool:
-        """Whether room will be there soon enough without stopping anything."""
+        """Whether room will be free soon enough without stopping anything."""
         if eviction.cost < CHEAP_CORE_SECONDS:
             return False
         latest = unit.job.accepted + RECLAIM_WAIT_SECONDS
@@ -299,8 +300,8 @@
         return could_start_before(unit, self.rooms, self.durations, self.now, latest)
 
 
-def _mark_wanted(waiting: list[Unit], rooms: Rooms) -> None:
+def _mark_reserved(waiting: list[Unit], rooms: Rooms) -> None:
     for unit in waiting:
-        for name in unit.claim:
+        for name in unit.reserved_workers:
             if name in rooms:
-                rooms[name].wanted = True
+                rooms[name].is_reserved = True
--- a/src/primrosestile/decisions/work/preempting.py
+++ b/src/primrosestile/decisions/work/preempting.py
@@ -1,13 +1,12 @@
-"""What is stopped so that urgent work can start.
+"""Preemption: what may be stopped so that other work can start, and at which cost.
 
-Load: urgent gangs that arrive while renders and rebuilds hold every accelerator.
+Load: urgent gangs that arrive while renders and rebuilds use every accelerator.
 Harm: an organisation that does not get its guaranteed accelerators within 2.9 s,
-or hours of work thrown away for a quote that could have waited. So within its
-guarantee urgent work stops whatever is not within a guarantee itself, the
-cheapest first; other work only what has a lower priority, and as much as is in
-proportion to what it does itself.
+or hours of work wasted for a quote that could have waited. So urgent work within its
+guarantee stops whatever is not within a guarantee itself, the cheapest first; other
+work stops only what has a lower priority, and only in proportion to its own work.
 
-Work with checkpoints saves one as it is stopped, so it loses only its restart. A
+Work with checkpoints saves one when it is stopped, so it loses only its restart. A
 gang is lost whole with any of its members.
 """
 
@@ -16,39 +15,41 @@
 
 from primrosestile.decisions.work.units import MemberState, Unit
 
-# An accelerator's second is worth this many of a core, as operators price them.
+# An accelerator-second costs as much as this many core-seconds, by operators' prices.
 CORES_PER_ACCELERATOR = 8
-# What stopping work with checkpoints costs: a restart of 0.1 to 0.25 s and the
-# gap until it is placed again.
+# Cost of stopping work with checkpoints: a restart of 0.1 to 0.25 s, and the gap until
+# it is placed again.
 RESTART_SECONDS = 0.5
-# Beyond its guarantee urgent work stops nothing that was started less than this
-# ago: work that is stopped again and again for others never ends.
+# Except for guaranteed work and services, no work with checkpoints is stopped that
+# started less than this ago: work that is stopped again and again never ends.
 SPARED_SECONDS = 2.0
-# Nothing that was begun more often than this is stopped, but for guaranteed work: the
-# same patient tasks would pay for all others.
+# Except for guaranteed work and services, nothing is stopped that was started more
+# often than this; otherwise the same low-priority tasks would be stopped every time.
 SPARED_STARTS = 3
-# Work without checkpoints loses all that it did, so usual work stops only what has just
-# begun; without any of that, gangs would find too little room until long tables end.
+# Work without checkpoints loses all that it did, so work that is not urgent stops only
+# what has just started. If it stopped none, gangs would find too little room until long
+# tables end.
 UNSAVED_SECONDS = 3.0
-# For urgent work, unsaved work that is older may be stopped as well, while all of it
-# comes to no more than what the urgent work does itself, times this. A gang of four
-# whole workers in one rack stood beside four racks on which single unsaved tasks were
-# spread, none of them young, for ten seconds, and its caller got nothing.
+# Urgent work may also stop older unsaved work if the cost of all that is stopped is at
+# most this many times its own work. Without that, a gang of four whole workers in one
+# rack waited for ten seconds, with single unsaved tasks, all of them old, spread over
+# four racks, and its caller got nothing.
 URGENT_WASTE_FACTOR = 2.0
-# What may be thrown away for work that is not urgent but goes before what is
+# What may be wasted for work that is not urgent but has a higher priority than what is
 # stopped: a few restarts, against the hundreds of core-seconds of a gang that would
-# come too late for its caller.
+# otherwise be late for its caller.
 USUAL_CORE_SECONDS = 250.0
-# Urgent work of others goes last: stopping it makes one caller late for another.
+# Urgent work is the last to be stopped: it would make one caller late for another.
 URGENT_VICTIM_FACTOR = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Eviction:
-    """Units to stop, and what that throws away in core-seconds.
+    """Units to stop, and what that wastes.
 
     Attributes:
-        aged: Some of them have run for long and save nothing.
+        cost: In core-seconds.
+        aged: Some of them have run for long and have no checkpoints.
     """
 
     units: tuple[Unit, ...]
@@ -57,13 +58,13 @@
 
 
 def count_cores(unit: Unit) -> float:
-    """Return what one member of a unit takes, an accelerator as so many cores."""
+    """Return the cores of one member, with accelerators converted into cores."""
     need = unit.step.need
     return need.processor / 1000 + need.accelerators * CORES_PER_ACCELERATOR
 
 
 def find_cost(unit: Unit, now: float) -> float:
-    """Return the core-seconds that stopping a unit throws away."""
+    """Return the core-seconds that stopping a unit wastes, weighted if urgent."""
     cores = count_cores(unit)
     cost = 0.0
     for member in unit.members:
@@ -79,11 +80,11 @@
 
 
 def find_work(unit: Unit, seconds: float) -> float:
-    """Return the core-seconds that a unit itself takes.
+    """Return the core-seconds of a unit's own run.
 
     Args:
         unit: To be started.
-        seconds: How long its run is expected to take.
+        seconds: Expected run time.
     """
     return unit.size * count_cores(unit) * seconds
 
@@ -91,15 +92,15 @@
 def is_affordable(
     eviction: Eviction, gainer: Unit, entitled: bool, seconds: float
 ) -> bool:
-    """Whether a unit is worth what would be thrown away for it.
+    """Whether a unit is worth what would be wasted for it.
 
-    Guaranteed work and services have their room whatever that costs.
+    Guaranteed work and services get their room at any cost.
 
     Args:
         eviction: What would be stopped.
-        gainer: For whom.
-        entitled: Whether it is within its organisation's guarantee.
-        seconds: How long its run is expected to take.
+        gainer: The unit that gets the room.
+        entitled: Whether the gainer is within its organisation's guarantee.
+        seconds: Expected run time of the gainer.
     """
     if entitled or gainer.step.lasting:
         return True
@@ -130,7 +131,7 @@
 
 
 def is_aged(victim: Unit, now: float) -> bool:
-    """Whether a unit has run for long and saves nothing."""
+    """Whether a unit has run for long and has no checkpoints."""
     if victim.step.checkpoints or not victim.members:
         return False
     return now - victim.members[0].since >= UNSAVED_SECONDS
--- a/src/primrosestile/decisions/work/reserving.py
+++ b/src/primrosestile/decisions/work/reserving.py
@@ -1,12 +1,12 @@
-"""Which room is kept for a unit that needs more than is free anywhere.
+"""Reserves room for units that need more than is free anywhere.
 
 Load: gangs that need whole workers of one rack, among a stream of single tasks.
-Harm: as soon as an accelerator is free a small task takes it, so no worker is ever
-empty and the gang never starts; seen as renders that waited for forty seconds
-beside a fleet that was never full. So for a few such units the workers that will
-be free the soonest are kept, and stay kept: chosen anew each time, the choice
-would move on before any of them is empty. Until then, work that ends in time may
-use them.
+Harm: starvation; a small task takes each accelerator as it becomes free, so no worker
+is ever empty and the gang never starts: renders waited for forty seconds although the
+fleet was never full. So for a few such units the workers that will be free the soonest
+are reserved, and stay reserved: if they were chosen again in each pass, the choice
+would change before any of them is empty. Until then, work that ends in time may
+backfill them.
 """
 
 import math
@@ -22,45 +22,49 @@
 )
 from primrosestile.decisions.work.units import Member, MemberState, Unit
 
-# Units that are kept room for at one time, besides urgent ones. With more, so much
-# room stands empty that others wait for nothing.
+# Units that have reservations at one time, besides urgent ones. With more, so much room
+# stays empty that others wait needlessly.
 RESERVED_UNITS = 3
-# A claim that is overdue by this much is given up and made anew: what ran there
-# took longer than it should have.
+# A reservation that is overdue by this much is replaced: what ran there took longer
+# than expected.
 OVERDUE_SECONDS = 4.0
 
 
-def keep_room(unit: Unit, rooms: Rooms, durations: Durations, now: float) -> bool:
-    """Keep room for a unit; return whether there is any to be kept."""
-    if not _is_claim_good(unit, rooms, now):
-        _make_claim(unit, rooms, durations, now)
-    hold_claim(unit, rooms, now)
-    return bool(unit.claim)
+def reserve_room(unit: Unit, rooms: Rooms, durations: Durations, now: float) -> bool:
+    """Reserve room for a unit; return whether there is any to reserve."""
+    if not _is_reservation_valid(unit, rooms, now):
+        _make_reservation(unit, rooms, durations, now)
+    count_reservation(unit, rooms, now)
+    return bool(unit.reserved_workers)
 
 
-def hold_claim(unit: Unit, rooms: Rooms, now: float) -> None:
-    """Count a unit's claim in."""
-    until = max(unit.claimed_until, now)
-    for name in unit.claim:
+def count_reservation(unit: Unit, rooms: Rooms, now: float) -> None:
+    """Subtract a unit's reservation from the rooms."""
+    until = max(unit.reserved_until, now)
+    for name in unit.reserved_workers:
         if name in rooms:
-            rooms[name].keep(unit.step.need, unit.step.filling, 1, until)
+            rooms[name].reserve(unit.step.need, unit.step.filling, 1, until)
 
 
-def _is_claim_good(unit: Unit, rooms: Rooms, now: float) -> bool:
-    if not unit.claim or now > unit.claimed_until + OVERDUE_SECONDS:
+def _is_reservation_valid(unit: Unit, rooms: Rooms, now: float) -> bool:
+    if not unit.reserved_workers or now > unit.reserved_until + OVERDUE_SECONDS:
         return False
-    return all(name in rooms and name not in unit.failed_on for name in unit.claim)
+    return all(
+        name in rooms and name not in unit.failed_on for name in unit.reserved_workers
+    )
 
 
-def _make_claim(unit: Unit, rooms: Rooms, durations: Durations, now: float) -> None:
+def _make_reservation(
+    unit: Unit, rooms: Rooms, durations: Durations, now: float
+) -> None:
     """Choose the workers on which a unit could start the soonest."""
-    unit.claimed_until, unit.claim = _find_best(unit, rooms, durations, now)
+    unit.reserved_until, unit.reserved_workers = _find_best(unit, rooms, durations, now)
 
 
 def could_start_before(
     unit: Unit, rooms: Rooms, durations: Durations, now: float, latest: float
 ) -> bool:
-    """Whether a unit could start by then without anything being stopped for it."""
+    """Whether a unit could start before `latest` without stopping anything."""
     if latest <= now:
         return False
     return _find_best(unit, rooms, durations, now, latest)[0] < latest
@@ -73,7 +77,7 @@
     now: float,
     latest: float = math.inf,
 ) -> tuple[float, tuple[str, ...]]:
-    """Return when a unit could start and where, if that is before the latest."""
+    """Return the earliest time before `latest` that a unit could start, and where."""
     best: tuple[float, tuple[str, ...]] = (math.inf, ())
     for group in list_racks(unit, find_eligible(unit, rooms, now)):
         found = _find_in_group(unit, group, durations, now, latest)
@@ -102,7 +106,7 @@
 def _list_slots(
     unit: Unit, room: Room, durations: Durations, now: float, latest: float
 ) -> list[tuple[float, str]]:
-    """Return when each task that a worker can hold could begin there."""
+    """Return when each task that fits on a worker could start there."""
     name = room.worker.entry.worker
     slots = [(now, name)] * count_allowed(unit, room)
     known = len(slots)
--- a/src/primrosestile/decisions/work/speeds.py
+++ b/src/primrosestile/decisions/work/speeds.py
@@ -1,12 +1,12 @@
-"""How fast each worker is, learned by comparing tasks that are alike.
+"""How fast each worker is, learned by comparing similar tasks.
 
 Load: a third of the workers takes 1.3 times as long as the others, and for some
 seconds a few may take six times as long. Harm: urgent work has a slack of half its
-run time, so on such a worker it is late though it started at once; and a gang is as
-slow as its slowest member. Callers' estimates are too far off to tell a slow
-worker from a long task. Tasks of one step are alike, so each is compared with the
+run time, so on such a worker it is late even if it starts at once; and a gang is as
+slow as its slowest member. Callers' estimates are too inaccurate to tell a slow
+worker from a long task. Tasks of one step are similar, so each is compared with the
 others of its step: with the median time of those that have ended, or, in a gang,
-with the median progress of its members.
+with the median speed of its members.
 """
 
 from collections.abc import Mapping
@@ -16,43 +16,43 @@
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.units import Member, Unit
 
-# The weight of a new comparison: tasks of one step differ by 15% among themselves,
-# so about the last five count.
+# The weight of a new comparison: tasks of one step differ by 15%, so about the last
+# five count.
 NEW_SHARE = 0.2
-# Comparisons before a worker is called slow: one long task must not do.
+# Comparisons before a worker counts as slow: one long task must not suffice.
 FEWEST_COMPARISONS = 3
 # Between the usual 1.0 and a slow worker's 1.3, with 15% between tasks.
 SLOW_FACTOR = 1.14
-# A comparison counts as no more than this.
+# Bound on one comparison: its factor is limited to 1 / this and this.
 LARGEST_FACTOR = 2.0
 # Ended tasks of a step before another one is compared with them.
 FEWEST_SIBLINGS = 3
-# Steps remembered; older ones have ended.
+# Steps kept; older ones have ended.
 STEPS_KEPT = 200
-# A run this far behind what was expected of it, after this many seconds, shows a
-# worker that is slow at present.
+# A run whose progress is this many times less than expected, after this many seconds,
+# shows a worker that is currently slow.
 BEHIND_FACTOR = 2.5
 BEHIND_SECONDS = 1.2
 
 
 class Speeds:
-    """The factor by which each worker is slower than its like."""
+    """The factor by which each worker is slower than usual."""
 
     def __init__(self) -> None:
         self._factors: dict[str, tuple[int, float]] = {}
         self._steps: dict[tuple[str, int, int], list[float]] = {}
 
     def find_factor(self, worker: str) -> float:
-        """Return how many times as long as usual a worker takes, as far as known."""
+        """Return how many times as long as usual a worker takes; 1 if not known."""
         count, factor = self._factors.get(worker, (0, 1.0))
         return factor if count >= FEWEST_COMPARISONS else 1.0
 
     def is_slow(self, worker: str) -> bool:
-        """Whether urgent work should rather go elsewhere."""
+        """Whether urgent work should preferably go elsewhere."""
         return self.find_factor(worker) > SLOW_FACTOR
 
     def note_done(self, member: Member, now: float) -> None:
-        """Take in the end of a run, or of a gang by the word of one member."""
+        """Learn from a successful run; a gang's is reported by one member."""
         unit = member.unit
         if unit.step.gang:
             self._compare_gang(unit)
@@ -89,16 +89,16 @@
         self._factors[worker] = (count + 1, known + share * (factor - known))
 
     def make_record(self) -> dict[str, tuple[int, float]]:
-        """Return what a next owner begins with."""
+        """Return the factors for the next owner."""
         return dict(self._factors)
 
     def restore(self, record: Mapping[str, tuple[int, float]]) -> None:
-        """Begin with what an earlier owner learned."""
+        """Load the factors of an earlier owner."""
         self._factors.update(record)
 
 
 def is_behind(member: Member, expected: float, now: float) -> bool:
-    """Whether a run shows that its worker is slow, or stands still, at present."""
+    """Whether a run shows that its worker is currently slow or stalled."""
     elapsed = now - member.up_at
     if not member.up_at or member.resumed or elapsed < BEHIND_SECONDS:
         return False
@@ -111,7 +111,7 @@
 def find_slow(
     board: Board, durations: Durations, speeds: Speeds, now: float
 ) -> set[str]:
-    """Return the workers that are slow, always or at present."""
+    """Return the workers that are slow, in general or currently."""
     slow = set()
     for worker in board.workers.values():
         if speeds.is_slow(worker.name) or any(
--- a/src/primrosestile/decisions/work/standing.py
+++ b/src/primrosestile/decisions/work/standing.py
@@ -1,35 +1,35 @@
-"""Which VMs stand first for a vacant ownership: those that can carry the fleet.
+"""Delays elections on small VMs, so that VMs that can serve the fleet run first.
 
-Were the first to hear of a vacancy the owner, a VM of the smallest kind would be it
-most of the time on a site that has many of them. It would fall behind with looks and
-orders; one would notice by an owner that soon gives the ownership up, or by leases of
-workers that lapse. Each VM therefore waits by what it lacks of an ample one, within a
-bound, and VMs that are ample don't wait.
+If the first process to detect a vacancy became the owner, a VM of the smallest kind
+would be it most of the time on a site with many of them. It would fall behind with
+polls and orders, and soon give the ownership up or let workers' leases lapse. So each
+VM waits in proportion to what it lacks of an ample VM, within a bound; ample VMs don't
+wait.
 """
 
 import math
 
-# An owner of a hundred workers and more needs several times what it takes on a calm day
-# just after a takeover.
+# Just after a takeover, an owner of a hundred workers or more needs several times what
+# it needs on a calm day.
 AMPLE_PROCESSOR_CORES = 1.0
-# Well between links that can't carry a large fleet and those that can: a limit at
-# either would part VMs that are hardly different.
+# Well between links that can't serve a large fleet and those that can: a limit near
+# either would separate VMs that hardly differ.
 AMPLE_LINK_MBPS = 50.0
-# A link of this share of an ample one lacks all that counts.
+# A link with this share of an ample one, or less, gets the longest delay.
 LEAST_LINK_SHARE = 0.1
-# Any that lacks something waits for longer than VMs that start together are apart, and
-# than a vacancy takes to be heard of.
+# Shortest delay of a VM that lacks something: longer than VMs that start together are
+# apart, and than a vacancy takes to be detected.
 LEAST_WAIT_SECONDS = 0.3
 # The bound: a takeover may take 2.5 s, of which the lease takes up to 1.2 s.
 LONGEST_WAIT_SECONDS = 0.5
 
 
 def find_stand_back(processor: float, link: float) -> float:
-    """Return how long a VM waits before it stands for a vacancy, in seconds.
+    """Return how many seconds a VM waits before it runs for a vacant ownership.
 
     Args:
         processor: In cores of the usual speed.
-        link: In megabits a second.
+        link: In megabits per second.
     """
     lack = max(_find_processor_lack(processor), _find_link_lack(link))
     if lack <= 0.0:
--- a/src/primrosestile/decisions/work/trust.py
+++ b/src/primrosestile/decisions/work/trust.py
@@ -1,88 +1,87 @@
-"""Which workers get no work for a while.
+"""Quarantines workers on which work fails: they get no new work for some seconds.
 
-Load: a worker that fails all that it starts while it looks well. Harm: a job may
-fail once or twice before its caller is told that it can't be done, so two such
-workers end jobs that every other worker would have run. A job that fails
-everywhere must not cost workers their trust either, so failures of one job count
-once, and a run that ends well on a worker clears it.
+Load: a worker that fails all that it starts while it reports itself healthy. Harm: a
+job may fail only once or twice before it is given up, so two such workers fail jobs
+that every other worker would have run. A job that fails everywhere must not quarantine
+workers either, so failures of one job count once, and a successful run on a worker
+clears its history.
 """
 
 from dataclasses import dataclass, field
 
-# Failures of this many different jobs, with none ended well in between.
-JOBS_TO_DISTRUST = 2
-# Such trouble lasts for some seconds; afterwards the worker gets work again, and
-# loses its trust again by the next failure if nothing has changed.
-DISTRUST_SECONDS = 6.0
-# Work that can't be done fails partway; a run that fails this soon, with nothing
-# done, more likely met a worker that fails everything. The worker is left out for a
-# little at once, since the next job that comes may have but one more attempt.
+# Failures of this many different jobs, with no successful run in between.
+QUARANTINE_JOBS = 2
+# Such faults last for some seconds; afterwards the worker gets work again, and the next
+# failure quarantines it again if no run has succeeded.
+QUARANTINE_SECONDS = 6.0
+# Work that can't succeed fails partway; a run that fails this soon more likely ran on a
+# worker that fails everything. That worker is quarantined for a shorter time after one
+# failure, since the next job may have only one more attempt.
 AT_ONCE_SECONDS = 0.25
-DOUBT_SECONDS = 3.0
-# What is placed on a worker on which a task stands still does so as well, while that
-# lasts: some seconds.
-STILL_SECONDS = 5.0
-# A worker that refused a start for its health is asked again after this.
+EARLY_FAILURE_QUARANTINE_SECONDS = 3.0
+# Work placed on a worker on which a task stalled stalls as well, for some seconds.
+STALL_SECONDS = 5.0
+# Quarantine of a worker that refused a start because it is unhealthy.
 UNHEALTHY_SECONDS = 1.0
-# Of a pool at most this share is left out: when more fails, it is not the workers.
+# At most this share of all workers is quarantined: if more fail, they aren't the cause.
 LARGEST_SHARE = 0.34
 
 
 @dataclass(slots=True)
-class Conduct:
-    """What went badly on one worker since something last went well there."""
+class FailureHistory:
+    """Jobs that failed on one worker since a run last succeeded there."""
 
     failed_jobs: set[str] = field(default_factory=set)
     distrusted_until: float = 0.0
 
 
 class Trust:
-    """The conduct of each worker."""
+    """The failure history and quarantine of each worker."""
 
     def __init__(self) -> None:
-        self._conducts: dict[str, Conduct] = {}
+        self._histories: dict[str, FailureHistory] = {}
 
     def note_done(self, worker: str) -> None:
-        """Note that a run ended well."""
-        self._conducts.pop(worker, None)
+        """Record a successful run."""
+        self._histories.pop(worker, None)
 
     def note_failed(
         self, worker: str, job: str, seconds: float, now: float, workers: int
     ) -> float:
-        """Note a failed run; return until when the worker gets no work.
+        """Record a failed run; return until when the worker gets no work.
 
         Args:
             worker: Where it ran.
-            job: Whose run it was.
+            job: The run's job.
             seconds: How long it ran.
             now: On the loop's clock.
             workers: How many there are.
         """
-        conduct = self._conducts.setdefault(worker, Conduct())
-        conduct.failed_jobs.add(job)
-        known_bad = len(conduct.failed_jobs) >= JOBS_TO_DISTRUST
+        history = self._histories.setdefault(worker, FailureHistory())
+        history.failed_jobs.add(job)
+        known_bad = len(history.failed_jobs) >= QUARANTINE_JOBS
         at_once = seconds < AT_ONCE_SECONDS
         if not known_bad and not at_once:
             return 0.0
-        if self._count_distrusted(now) + 1 > LARGEST_SHARE * workers:
+        if self._count_quarantined(now) + 1 > LARGEST_SHARE * workers:
             return 0.0
-        pause = DISTRUST_SECONDS if known_bad else DOUBT_SECONDS
-        conduct.distrusted_until = now + pause
-        return conduct.distrusted_until
+        pause = QUARANTINE_SECONDS if known_bad else EARLY_FAILURE_QUARANTINE_SECONDS
+        history.distrusted_until = now + pause
+        return history.distrusted_until
 
     def note_still(self, worker: str, now: float, workers: int) -> float:
-        """Note that a task stood still; return until when the worker gets no work.
+        """Record a stalled task; return until when the worker gets no work.
 
         Args:
-            worker: Where it was.
+            worker: Where it ran.
             now: On the loop's clock.
             workers: How many there are.
         """
-        if self._count_distrusted(now) + 1 > LARGEST_SHARE * workers:
+        if self._count_quarantined(now) + 1 > LARGEST_SHARE * workers:
             return 0.0
-        conduct = self._conducts.setdefault(worker, Conduct())
-        conduct.distrusted_until = max(conduct.distrusted_until, now + STILL_SECONDS)
-        return conduct.distrusted_until
+        history = self._histories.setdefault(worker, FailureHistory())
+        history.distrusted_until = max(history.distrusted_until, now + STALL_SECONDS)
+        return history.distrusted_until
 
-    def _count_distrusted(self, now: float) -> int:
-        return sum(each.distrusted_until > now for each in self._conducts.values())
+    def _count_quarantined(self, now: float) -> int:
+        return sum(each.distrusted_until > now for each in self._histories.values())
--- a/src/primrosestile/decisions/work/units.py
+++ b/src/primrosestile/decisions/work/units.py
@@ -1,11 +1,11 @@
-"""What the owner's picture of the fleet is made of.
+"""Jobs, units, members and workers of the fleet's state.
 
 A unit is what starts as one: a task, or all tasks of a gang. Its members are the
 tasks of its latest run, one each on a worker. A member is gone only when that is
-certain: its end was listed, its start was definitely refused, its worker's life
-is over, or its lease has run out on the worker's clock. A unit may be started
-again only when all of its members are gone; otherwise a start that was carried
-out late, or a worker that was cut off and ran on, would run a task twice.
+certain: its end was listed, its start was definitely refused, its worker's
+incarnation has ended, or its lease has run out on the worker's clock. A unit may be
+started again only when all of its members are gone; otherwise a start that is carried
+out late, or a worker that is partitioned and runs on, would run a task twice.
 """
 
 import math
@@ -27,16 +27,15 @@
 )
 from primrosestile.state.workers import WorkerEntry
 
-# What an earlier owner told a worker is not known: beside a service such a filling
-# task stands still and comes up from there, since full speed may be what it was taken
-# down from.
+# The pace that an earlier owner set is not known. Beside a service such a filling task
+# is set to 0 and raised from there, since full speed may be what it was reduced from.
 UNKNOWN_PACE = -1
 
 
 class MemberState(Enum):
     """What is known of one member of the latest run.
 
-    `SENT`: its start was recorded; it may run. `UP`: its worker has said that it
+    `SENT`: its start was recorded; it may run. `UP`: its worker has reported that it
     runs. `GONE`: it certainly does not run, and never will.
     """
 
@@ -48,20 +47,20 @@
 class Proof(StrEnum):
     """Why a member certainly does not run, and never will.
 
-    The list is closed: whoever takes a member as gone must name one of these, and the
+    The list is closed: code that marks a member as gone must name one of these, and the
     log shows it. When a task has run twice, the proof that was false is the cause.
 
     Attributes:
         ENDED: Its worker listed its end.
         NEVER_SENT: Its order never left this process.
         REFUSED: Its worker refused the start, and no earlier try went unanswered.
-        BARRED: A look sent after an answered stop does not show it.
-        FENCED_OFF: An earlier owner ordered it, and a look under our fence does not
+        BARRED: A poll sent after an answered stop does not show it.
+        FENCED_OFF: An earlier owner ordered it, and a poll under our fence does not
             show it.
-        GANG_ENDED: Another member ended well for the whole gang.
-        LIFE_OVER: Its worker's address answers that this life is over.
+        GANG_ENDED: Another member reported success for the whole gang.
+        LIFE_OVER: Its worker's address answers that this incarnation has ended.
         LEASE_OVER: Its worker's lease has run out on the worker's clock.
-        VM_ORDERED: Its worker's VM has begun its upkeep.
+        VM_ORDERED: Its worker's VM has begun its maintenance.
         UNHEARD: No owner can have extended its worker's lease for that long.
     """
 
@@ -77,9 +76,9 @@
     UNHEARD = "unheard"
 
 
-# What ends a life for good, so that its name never comes back; after the others the
-# same life may be heard of again.
-LIFE_PROOFS = frozenset({Proof.LIFE_OVER, Proof.VM_ORDERED})
+# Proofs that an incarnation has ended for good, so that its name never comes back;
+# after the others the same incarnation may answer again.
+FINAL_PROOFS = frozenset({Proof.LIFE_OVER, Proof.VM_ORDERED})
 
 
 @dataclass(slots=True, eq=False)
@@ -90,14 +89,14 @@
         since: When its run was decided, on the loop's clock.
         restored: It was ordered by an earlier owner, under a lower fence.
         resumed: It began from a checkpoint, not from the beginning.
-        up_at: When its worker first said that it runs.
-        moved_at: When its progress was last seen to rise.
-        heard_at: When its progress was last told.
-        address: Where its worker has answered as this life; empty if not known.
+        up_at: When its worker first reported that it runs.
+        progressed_at: When its progress was last seen to rise.
+        heard_at: When its progress was last reported.
+        address: Where its worker has answered as this incarnation; empty if not known.
         pace: The share of its speed that its worker was told to give it, in percent;
             UNKNOWN_PACE while that is not known.
-        paced_at: When that last changed.
-        stopping_at: When a pass first saw that it is to end.
+        paced_at: When the pace last changed.
+        stopping_at: When a pass first saw that it is to be stopped.
     """
 
     unit: "Unit"
@@ -121,10 +120,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """The advice service's word that a step may run on a worker.
+    """The advice service's ticket for running a step on a worker.
 
     Attributes:
-        until: When its ticket is not to be used any more, on the loop's clock.
+        until: When the ticket expires, on the loop's clock.
     """
 
     ticket: str
@@ -133,10 +132,10 @@
 
 @dataclass(slots=True)
 class Permits:
-    """What the advice service has said of one step.
+    """The advice service's answers about one step.
 
     Attributes:
-        granted: By worker; the tickets may have run out.
+        granted: By worker; the tickets may have expired.
         refused: Workers on which it may never run.
     """
 
@@ -149,7 +148,7 @@
         return permit is not None and now < permit.until
 
     def expire(self, worker: str) -> None:
-        """Note that a worker did not take a ticket: a new one is needed."""
+        """Expire a ticket that a worker did not accept: a new one is needed."""
         permit = self.granted.get(worker)
         if permit is not None:
             self.granted[worker] = Permit(permit.ticket, 0.0)
@@ -161,16 +160,16 @@
 
     Attributes:
         ready_at: When it became possible to start it; None before.
-        abandoned: Its present run is to end; members are being stopped.
-        failed_here: A failure of its present run was counted.
+        abandoned: Its current run is to end; members are being stopped.
+        failed_here: A failure of its current run was counted.
         failed_on: Workers on which a run of it failed.
         crashes: Workers that crashed under its tasks, by the task's position.
         isolating_since: Since when it waits for workers of its own.
-        rescues: Runs of it that were stopped since a member stood still.
-        claim: Workers that are being freed for it, or waited for.
-        claimed_until: When they are expected to be free.
+        stall_restarts: Runs of it that were stopped because a member stalled.
+        reserved_workers: Workers on which room is reserved for it.
+        reserved_until: When they are expected to be free.
         freed: Workers on which others were stopped for it, one for each member.
-        freed_until: How long what is freed there is held for it.
+        freed_until: Until when the room freed there is held for it.
         freed_rounds: How often others were stopped for it since its last run.
     """
 
@@ -189,8 +188,8 @@
     crashes: dict[int, CrashCount] = field(default_factory=dict)
     isolating_since: float | None = None
     rescues: int = 0
-    claim: tuple[str, ...] = ()
-    claimed_until: float = 0.0
+    reserved_workers: tuple[str, ...] = ()
+    reserved_until: float = 0.0
     freed: tuple[str, ...] = ()
     freed_until: float = 0.0
     freed_rounds: int = 0
@@ -207,18 +206,18 @@
 
     @property
     def pool(self) -> str:
-        """The workers that it may run on; a queue may come to lead to others."""
+        """The pool of workers that it may run on; its queue's pool may change."""
         return self.job.queue.pool or self.job.submission.pool
 
     @property
     def permits(self) -> Permits:
-        """What the advice service has said of its step."""
+        """The advice service's answers about its step."""
         key = (self.key.occurrence, self.key.step)
         return self.job.permits.setdefault(key, Permits())
 
     @property
     def idle(self) -> bool:
-        """Whether it waits and nothing of an earlier run can still be there."""
+        """Whether it waits and no member of an earlier run can still be running."""
         return self.phase is Phase.WAITING and not self.members
 
     def name_task(self, position: int) -> str:
@@ -248,9 +247,10 @@
     """One accepted job and its units so far.
 
     Attributes:
-        accepted: When we learnt of it, on the loop's clock, moved back by its age.
+        accepted: When it was accepted, on the loop's clock: when it was read, less its
+            age then.
         occurrences: How many have been opened.
-        permits: What the advice service has said, by occurrence and step.
+        permits: The advice service's answers, by occurrence and step.
     """
 
     submission: Submission
@@ -279,7 +279,7 @@
             yield self.units[UnitKey(occurrence, step, index)]
 
     def is_step_done(self, occurrence: int, step: int) -> bool:
-        """Whether all tasks of a step have ended well."""
+        """Whether all tasks of a step have succeeded."""
         return all(
             unit.phase is Phase.DONE for unit in self.list_step(occurrence, step)
         )
@@ -294,7 +294,7 @@
         return Progress(self.state, units, self.ended_at, self._find_addresses())
 
     def _find_addresses(self) -> dict[str, str]:
-        """Return where the workers of the present runs have answered."""
+        """Return where the workers of the current runs have answered."""
         return {
             member.worker: member.address
             for unit in self.units.values()
@@ -306,22 +306,22 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One life of a worker, and what is on it or may be.
+    """One incarnation of a worker, with the members that run on it or may run.
 
     Attributes:
-        in_hand: It has accepted our fence, and its clock is known.
-        listed: It stands in the store's list.
-        proven: The address of its entry has answered this owner as this very life.
-        closed: It is being emptied for its VM's upkeep.
-        cordoned: Operators have its failure domain get no new work.
-        distrusted_until: It gets no work before, as work on it went badly.
-        leaves_at: When it may be gone, once it has said that it leaves.
+        acquired: It has accepted our fence, and its clock is known.
+        listed: It is in the store's list.
+        verified: The address of its entry has answered an owner as this incarnation.
+        closed: It is being drained for its VM's maintenance.
+        cordoned: Operators have cordoned its failure domain.
+        quarantined_until: It gets no work before, as work on it went badly.
+        leaves_at: When it may be gone, once it has announced that it leaves.
         stop_late_at: When a run there was last seen that should have ended.
         answered_at: When it last answered a call.
-        unanswered_at: Of the first call since then that it left unanswered.
-        orphaned_runs: Runs there that no record wants. How much room they take isn't
-            known, so nothing is started beside them.
-        used: What its members take, gone ones left out.
+        unanswered_at: Time of the first call since then that it left unanswered.
+        orphaned_runs: Runs there that belong to no record. How much room they take
+            isn't known, so nothing is started beside them.
+        processor, memory, accelerators: What its members take, without gone ones.
     """
 
     entry: WorkerEntry
@@ -343,7 +343,7 @@
 
     @property
     def name(self) -> str:
-        """The name of this life."""
+        """The name of this incarnation."""
         return self.entry.worker
 
     def may_take(self, now: float) -> bool:
@@ -359,19 +359,19 @@
         )
 
     def record_answer(self, now: float) -> None:
-        """Note that it has answered a call."""
+        """Record that it has answered a call."""
         self.answered_at = now
         self.unanswered_at = None
 
     def record_no_answer(self, now: float) -> None:
-        """Note that it has left a call unanswered."""
+        """Record that it has left a call unanswered."""
         if self.unanswered_at is None:
             self.unanswered_at = now
 
     def can_take_decided(self) -> bool:
         """Whether starts that were decided for it may still be sent to it.
 
-        They are counted in by now, so nothing may be over what it has.
+        Their members are already counted, so its use must not exceed its capacity.
         """
         if not self.listed or self.closed or self.cordoned or self.entry.leaving:
             return False
@@ -379,12 +379,12 @@
         return free.processor >= 0 and free.memory >= 0 and free.accelerators >= 0
 
     def attach(self, member: Member) -> None:
-        """Count a member in."""
+        """Add a member to its use."""
         self.members[member.task, member.run] = member
         self._count(member.unit.step, 1)
 
     def detach(self, member: Member) -> None:
-        """Count a member out."""
+        """Remove a member from its use."""
         if self.members.pop((member.task, member.run), None) is not None:
             self._count(member.unit.step, -1)
 
--- a/src/primrosestile/decisions/work/upkeep.py
+++ b/src/primrosestile/decisions/work/upkeep.py
@@ -1,10 +1,11 @@
-"""Which VMs of a wave go next, and which workers are emptied for it.
-
-Load: operators ask for the upkeep of many workers' VMs within some time, a few at
-once, while the fleet is at work. Harm: an order ends everything on its VM, so taken
-in any order a wave throws hours of work away, or takes more tasks of one service away
-than its users bear. So VMs with nothing on them go first, then those whose work can be
-saved; work that can't be saved is waited for as long as the deadline allows.
+"""Which VMs of a maintenance wave go next, and which workers are drained for it.
+
+Load: operators order the maintenance of many workers' VMs by a deadline, a few at a
+time, while the fleet is in use. Harm: an order ends everything on its VM, so in an
+arbitrary order a wave wastes hours of work, or stops more tasks of one service at once
+than its limit allows. So VMs with the least to lose go first: empty ones, then those
+whose work can be saved; work that can't be saved is waited for as long as the deadline
+allows.
 """
 
 import math
@@ -16,9 +17,9 @@
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 from primrosestile.state.upkeep import VmState, Wave, WorkerVm
 
-# One VM's upkeep takes 2 s; its worker is back in the list and in hand 1.5 s later.
+# One VM's maintenance takes 2 s; its worker is listed and acquired again 1.5 s later.
 ROUND_SECONDS = 3.5
-# Kept of the deadline for a change of owner and an order that is not answered.
+# Slack before the deadline for a change of owner and an order that is not answered.
 SPARE_SECONDS = 6.0
 FULL_PERCENT = 100
 
@@ -28,9 +29,9 @@
     """What to do for a wave now.
 
     Attributes:
-        begin: VMs whose upkeep is to be ordered.
-        empty: Workers that get no new work, since theirs is to be ordered soon.
-        save: Units on those that are stopped, as they lose nothing by it.
+        begin: VMs whose maintenance is to be ordered.
+        empty: Workers to drain, since their VMs' maintenance is to be ordered soon.
+        save: Units with checkpoints on those workers, to be stopped at once.
     """
 
     begin: tuple[WorkerVm, ...] = ()
@@ -39,7 +40,7 @@
 
 
 def plan_upkeep(
-    board: Board,
+    fleet_state: Board,
     wave: Wave,
     vms: dict[str, WorkerVm],
     begun: Collection[str],
@@ -51,14 +52,14 @@
     """Decide on a wave.
 
     Args:
-        board: What runs where.
+        fleet_state: What runs where.
         wave: The wave.
         vms: By name, as the platform lists them.
-        begun: Those that were ordered already.
+        begun: Those whose maintenance was ordered already.
         away: How many of these are not back yet.
         seconds_left: Until the wave's deadline.
         now: On the loop's clock.
-        leaving: Workers whose VMs are away for any wave, or may soon be.
+        leaving: Workers whose VMs are in maintenance for any wave, or may soon be.
     """
     waiting = [
         vms[name]
@@ -67,11 +68,11 @@
     ]
     rounds = math.ceil(len(waiting) / wave.most)
     pressed = seconds_left - SPARE_SECONDS < rounds * ROUND_SECONDS
-    chosen = _choose(board, waiting, wave.most - away, leaving, now)
+    chosen = _choose(fleet_state, waiting, wave.most - away, leaving, now)
     begin: list[WorkerVm] = []
     empty: list[Worker] = []
     for vm in chosen:
-        worker = board.workers.get(vm.worker)
+        worker = fleet_state.workers.get(vm.worker)
         if worker is None or pressed or not _is_worth_waiting(worker):
             begin.append(vm)
         else:
@@ -84,39 +85,39 @@
 
 
 def _choose(
-    board: Board,
+    fleet_state: Board,
     waiting: list[WorkerVm],
     places: int,
     leaving: Collection[str],
     now: float,
 ) -> list[WorkerVm]:
-    """Return the VMs that go next: where the least is lost, and services bear it."""
+    """Return the next VMs: those with the least loss that services can spare."""
     chosen: list[WorkerVm] = []
     ranked = sorted(
-        waiting, key=lambda vm: _find_loss(board.workers.get(vm.worker), now)
+        waiting, key=lambda vm: _find_loss(fleet_state.workers.get(vm.worker), now)
     )
     for vm in ranked:
         if len(chosen) >= places:
             break
         taken = {each.worker for each in chosen}
-        if may_go(board, vm, taken.union(leaving)):
+        if may_go(fleet_state, vm, taken.union(leaving)):
             chosen.append(vm)
     return chosen
 
 
-def may_go(board: Board, vm: WorkerVm, taken: Collection[str]) -> bool:
-    """Whether the services on a VM bear its upkeep beside that of others.
+def may_go(fleet_state: Board, vm: WorkerVm, taken: Collection[str]) -> bool:
+    """Whether a VM's maintenance respects the away limits of its services.
 
-    What runs on a worker that is silent may be gone, and counts as away. Taken as there
-    until its lease is over, a service would lose one more task than its users bear.
+    What runs on a silent worker may be gone, and counts as away. If it counted as
+    running until its lease is over, a service could exceed its limit by one task.
 
     Args:
-        board: What runs where.
+        fleet_state: What runs where.
         vm: The VM.
         taken: Workers that are away, or go with it.
     """
-    worker = board.workers.get(vm.worker)
-    silent = {each.name for each in board.workers.values() if not each.in_hand}
+    worker = fleet_state.workers.get(vm.worker)
+    silent = {each.name for each in fleet_state.workers.values() if not each.in_hand}
     return worker is None or _bears(worker, silent.union(taken))
 
 
@@ -128,7 +129,7 @@
 
 
 def _is_worth_waiting(worker: Worker) -> bool:
-    """Whether something on a worker ends by itself; what lasts never does."""
+    """Whether something on a worker ends by itself; services never do."""
     return any(not each.unit.step.lasting for each in worker.members.values())
 
 
@@ -138,7 +139,7 @@
 
 
 def _list_saved(workers: Iterable[Worker]) -> tuple[Unit, ...]:
-    """Return the units that are stopped at once, as they go on elsewhere."""
+    """Return the units to stop at once, as they resume elsewhere."""
     found = {
         id(member.unit): member.unit
         for worker in workers
@@ -149,7 +150,7 @@
 
 
 def _bears(worker: Worker, taken: Collection[str]) -> bool:
-    """Whether its services bear being away; others of theirs may be just now."""
+    """Whether its services stay within their away limits if the worker goes too."""
     for member in worker.members.values():
         step = member.unit.step
         if not step.lasting or not step.away_limit:
