--- a/features/steps/work_bound_steps.py
+++ b/features/steps/work_bound_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what no scheduler could pass."""
+"""Steps for the upper bounds of what any scheduler can reach."""
 
 import random
 from pathlib import Path
@@ -23,13 +23,13 @@
 from primrosestile.state.work import Need, Step, Submission
 
 WORKLOADS = sorted(Path("examples/workloads").glob("*.json"))
-# Where less is better.
+# Figures for which less is better.
 COUNTED = ("unserved", "servable, unserved", "thrown away, core-seconds")
 ROUNDING = 1e-9
 
 
 def draw_small(seed: int) -> Workload:
-    """Return a fleet of a few workers with two faults, and far too much work."""
+    """Return a small fleet with two faults and far too much work."""
     chance = random.Random(seed)
     workload = read_workload(WORKLOADS[seed % len(WORKLOADS)])
     rack_size = chance.choice((2, 3))
@@ -63,7 +63,7 @@
 
 
 @when("{days:d} days of small fleets are drawn and played by our plan and by first fit")
-def step_play(context: Any, days: int) -> None:
+def step_simulate(context: Any, days: int) -> None:
     context.days = []
     for seed in range(days):
         workload = draw_small(seed)
@@ -75,25 +75,25 @@
             context.days.append((seed, name, figures, bound))
 
 
-@then("no figure of any of them passes its bound")
-def step_never(context: Any) -> None:
-    passed = [
+@then("no figure of any of them exceeds its bound")
+def step_not_exceeded(context: Any) -> None:
+    exceeded = [
         (seed, name, key, figures[key], limit)
         for seed, name, figures, bound in context.days
         for key, limit in bound.items()
-        # A kind whose callers all cancelled has no figure.
-        if key in figures and does_pass(key, figures[key], limit)
+        # A kind whose jobs were all cancelled has no figure.
+        if key in figures and exceeds(key, figures[key], limit)
     ]
-    assert not passed, passed
+    assert not exceeded, exceeded
 
 
-def does_pass(key: str, value: float, limit: float) -> bool:
+def exceeds(key: str, value: float, limit: float) -> bool:
     if key in COUNTED:
         return value < limit - ROUNDING
     return value > limit + ROUNDING
 
 
-@then("the bound is below what is owed on some of them, and reached on some")
+@then("the bound is below the total worth on some of them, and reached on some")
 def step_binds(context: Any) -> None:
     assert any(bound["all"] < 0.95 for _, _, _, bound in context.days)
     assert any(
@@ -163,7 +163,7 @@
             submission=Submission(f"{number:016x}", "q", "o0", "p", "", (step,)),
             seconds=(seconds,) * width,
             fails_at=0.0,
-            # Only who is in time counts, each as one.
+            # Each job counts as one if it is in time, and as nothing if it is late.
             worth=1.0,
             late_worth=0.0,
         )
--- a/features/steps/work_crashes_steps.py
+++ b/features/steps/work_crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for tasks that crash their workers."""
+"""Steps for poison tasks, which crash their workers."""
 
 import asyncio
 import dataclasses
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from features.doubles.crashday import CrashDay
 from features.doubles.restarts import Restarts, make_restarts
-from features.steps.work_decisions_steps import add_job, add_worker, make_board
+from features.steps.work_decisions_steps import add_job, add_worker, make_fleet_state
 from features.steps.work_steps import make_id
 
 from primrosestile.decisions.work.durations import Durations
@@ -19,15 +19,15 @@
 from primrosestile_standin.fleetscript import Script
 
 
-@given("crashed workers are back after {seconds:g} s")
-def step_back(context: Any, seconds: float) -> None:
+@given("crashed workers restart after {seconds:g} s")
+def step_restart(context: Any, seconds: float) -> None:
     context.restarts = make_restarts(context.world)
     context.restarts.after = seconds
 
 
 @given("task {index:d} of {name} crashes its worker after {seconds:g} s")
 def step_crashing(context: Any, index: int, name: str, seconds: float) -> None:
-    """Replace the script of one task, which its job writes when it is handed in."""
+    """Override the script of one task, which is set when its job is submitted."""
     task = f"{make_id(name)}.0.0.{index}"
     find_script = context.world.fleet.find_script
 
@@ -46,8 +46,8 @@
     assert restarts.count <= count, f"{restarts.count} workers have crashed"
 
 
-@given("crashed workers are back after {seconds:g} s, and answer nothing until then")
-def step_back_dark(context: Any, seconds: float) -> None:
+@given("crashed workers restart after {seconds:g} s, and answer nothing until then")
+def step_restart_unreachable(context: Any, seconds: float) -> None:
     context.restarts.after = seconds
     context.restarts.dark = True
 
@@ -85,8 +85,8 @@
     context.world.run(crash())
 
 
-@when("the worker that runs {name} is cut off for {seconds:g} s, {count:d} times")
-def step_cut_often(context: Any, name: str, seconds: float, count: int) -> None:
+@when("the worker that runs {name} is partitioned for {seconds:g} s, {count:d} times")
+def step_partition_often(context: Any, name: str, seconds: float, count: int) -> None:
     async def cut() -> None:
         for _ in range(count):
             worker = await wait_for_worker(context, name, 20.0)
@@ -110,7 +110,7 @@
     context.world.run(context.day.play())
 
 
-@then("every job of that day ended as it should")
+@then("every job of that day ended as expected")
 def step_day_ended(context: Any) -> None:
     assert not context.day.wrong, context.day.wrong
 
@@ -123,7 +123,7 @@
     context.world.run(crash())
 
 
-@then("no task of {name} has been decided on more than {count:d} times")
+@then("no task of {name} has had more than {count:d} runs")
 def step_decided(context: Any, name: str, count: int) -> None:
     async def list_runs() -> list[int]:
         owner = context.world.find_owner()
@@ -135,11 +135,11 @@
 
 
 @given(
-    "a picture of {count:d} workers in use, and 2 tasks of a step that met"
+    "a fleet state with {count:d} workers in use, and 2 tasks of a step with"
     " {first:d} and {second:d} crashes"
 )
 def step_in_use(context: Any, count: int, first: int, second: int) -> None:
-    board = context.board = make_board()
+    board = context.board = make_fleet_state()
     for number in range(count):
         add_worker(board, number, 8)
     add_job(board, 1, 1, (Step(count, Need(100, 100, 1)),))
@@ -156,15 +156,15 @@
     context.plan = make_plan(context.board, Durations(), Speeds(), 1.0)
 
 
-@then("only the task that met 1 crash is started")
+@then("only the task with 1 crash is started")
 def step_sibling(context: Any) -> None:
     started = [each.unit for each in context.plan.starts]
     assert started == [context.units[1]], started
 
 
-@given("a picture of a worker that fell silent with a task of {name} on it")
+@given("a fleet state with a worker that fell silent with a task of {name} on it")
 def step_silent(context: Any, name: str) -> None:
-    board = context.board = make_board()
+    board = context.board = make_fleet_state()
     add_worker(board, 1, 8)
     add_job(board, 1, 1, (Step(1, Need(1000, 1000, 1)),))
     (unit,) = board.jobs[f"{1:016x}"].units.values()
@@ -172,17 +172,17 @@
     board.clear_worker(board.workers["w1"], Proof.LEASE_OVER, 10.0)
 
 
-@when("the worker itself is listed again")
+@when("the same incarnation is listed again")
 def step_listed(context: Any) -> None:
     context.board.crashes.record_entry("a1", "w1", 11.0)
 
 
-@when("another worker answers at its address")
+@when("another incarnation answers at its address")
 def step_next_answers(context: Any) -> None:
     context.board.crashes.record_answer("a1", "w9", 12.0)
 
 
-@when("the worker itself answers")
+@when("the same incarnation answers")
 def step_same_answers(context: Any) -> None:
     context.board.crashes.record_answer("a1", "w1", 11.5)
 
--- a/features/steps/work_decisions_steps.py
+++ b/features/steps/work_decisions_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the decisions on jobs of steps, without input or output."""
+"""Steps for scheduling decisions, without input or output."""
 
 from collections import Counter
 from dataclasses import replace
@@ -35,7 +35,7 @@
 QUEUES = tuple(make_queue(priority) for priority in range(3))
 
 
-def make_board(guarantee: int = 0) -> Board:
+def make_fleet_state(guarantee: int = 0) -> Board:
     policy = Policy(
         1,
         1,
@@ -107,8 +107,8 @@
 )
 
 
-def build(workers: Any, jobs: Any, guarantee: int = 0) -> Board:
-    board = make_board(guarantee)
+def build_fleet_state(workers: Any, jobs: Any, guarantee: int = 0) -> Board:
+    board = make_fleet_state(guarantee)
     for number, (accelerators, labels, leaving, pool) in enumerate(workers):
         add_worker(
             board, number, accelerators, labels=labels, leaving=leaving, pool=pool
@@ -118,7 +118,7 @@
     return board
 
 
-def carry_out(board: Board, plan: Plan, now: float) -> None:
+def apply_plan(board: Board, plan: Plan, now: float) -> None:
     for start in plan.starts:
         board.order(start.unit, [worker.name for worker in start.workers], now)
 
@@ -141,14 +141,14 @@
             assert not bound or spread[unit.step_key] <= bound
 
 
-@then("a drawn plan keeps to room, labels, pools, spreading and trust")
+@then("a drawn plan respects room, labels, pools, spreading and leaving workers")
 def step_bounds(context: Any) -> None:
     @TRIES
     @draw(WORKERS, JOBS)
     def check(workers: Any, jobs: Any) -> None:
-        board = build(workers, jobs)
+        board = build_fleet_state(workers, jobs)
         for now in (0.0, 5.0, 30.0):
-            carry_out(board, plan_at(board, now), now)
+            apply_plan(board, plan_at(board, now), now)
             check_bounds(board)
 
     check()
@@ -159,20 +159,20 @@
     @TRIES
     @draw(WORKERS, JOBS)
     def check(workers: Any, jobs: Any) -> None:
-        board = build(workers, jobs)
+        board = build_fleet_state(workers, jobs)
         for start in plan_at(board, 0.0).starts:
             assert len(start.workers) == start.unit.size
 
     check()
 
 
-@then("a drawn plan stops only what it may, and then the gainer has its room")
+@then("a drawn plan stops only what may be stopped, and something starts for each stop")
 def step_stops(context: Any) -> None:
     @TRIES
     @draw(WORKERS, JOBS, JOBS)
     def check(workers: Any, running: Any, waiting: Any) -> None:
-        board = build(workers, running, guarantee=8)
-        carry_out(board, plan_at(board, 0.0), 0.0)
+        board = build_fleet_state(workers, running, guarantee=8)
+        apply_plan(board, plan_at(board, 0.0), 0.0)
         for number, (priority, step, organisation, _) in enumerate(waiting, 100):
             add_job(
                 board, number, priority, (step,), organisation=organisation, now=5.0
@@ -192,8 +192,8 @@
         taken = {start.unit.job.job_id for start in started}
         for stop in plan.stops:
             gainer = stop.gainer.job.job_id
-            # The room may go to work that is more pressing, which could not have
-            # had it freed itself.
+            # The room may go to more urgent work that could not have had it freed
+            # itself.
             ahead = before[: before.index(gainer) + 1]
             assert taken.intersection(ahead), "stopped for nothing"
 
@@ -201,7 +201,7 @@
 
 
 def check_proportion(stop: Stop) -> None:
-    """Old work that saves nothing is stopped for urgent work of its size only."""
+    """Check that unsaved work is stopped only for urgent work in proportion to it."""
     if stop.unit.step.checkpoints:
         return
     assert stop.gainer.job.queue.priority == 0
@@ -221,9 +221,9 @@
     @TRIES
     @draw(WORKERS, STEPS)
     def check(workers: Any, step: Step) -> None:
-        board = build(workers, [(1, step, "domes", 0.0)])
+        board = build_fleet_state(workers, [(1, step, "domes", 0.0)])
         unit = next(iter(next(iter(board.jobs.values())).units.values()))
-        # Past every patience for a rack.
+        # Longer ago than any locality wait.
         unit.ready_at = -60.0
         rooms = make_rooms(board, 0.0)
         could = could_hold(unit, find_eligible(unit, rooms, 0.0))
@@ -233,9 +233,9 @@
     check()
 
 
-@given("a fleet of decisions with {count:d} workers of {each:d} accelerators")
+@given("a fleet state with {count:d} workers of {each:d} accelerators")
 def step_fleet(context: Any, count: int, each: int) -> None:
-    context.board = make_board()
+    context.board = make_fleet_state()
     context.durations = Durations()
     context.speeds = Speeds()
     for number in range(count):
@@ -260,7 +260,7 @@
             for member in unit.members:
                 board.note_end(member.task, member.run, EndKind.DONE, "")
         plan = make_plan(board, context.durations, context.speeds, now)
-        carry_out(board, plan, now)
+        apply_plan(board, plan, now)
         for start in plan.starts:
             ends.append((now + 3.0, start.unit))
             if start.unit.step.gang and context.gang_at is None:
@@ -269,7 +269,7 @@
 
 @then("the gang starts within {seconds:g} s")
 def step_gang(context: Any, seconds: float) -> None:
-    assert context.gang_at is not None, "it never started"
+    assert context.gang_at is not None, "the gang never started"
     assert context.gang_at <= seconds, context.gang_at
 
 
@@ -279,7 +279,7 @@
     step = Step(4, Need(100, 100, 1), gang=True, most_per_worker=1)
     for number in range(count):
         add_job(board, number, 1, (step,))
-        carry_out(board, plan_at(board, 0.0), 0.0)
+        apply_plan(board, plan_at(board, 0.0), 0.0)
         unit = next(iter(board.jobs[f"{number:016x}"].units.values()))
         for member in unit.members:
             board.note_up(member, 0.1)
@@ -302,16 +302,16 @@
     assert context.placed != "w0"
 
 
-@given("trust in {count:d} workers")
-def step_trust(context: Any, count: int) -> None:
-    context.trust = Trust()
+@given("a quarantine for {count:d} workers")
+def step_quarantine(context: Any, count: int) -> None:
+    context.quarantine = Trust()
     context.count = count
 
 
 @when("two jobs fail on worker 0")
 def step_two_fail(context: Any) -> None:
-    context.trust.note_failed("w0", "j1", 2.0, 0.0, context.count)
-    context.until = context.trust.note_failed("w0", "j2", 2.0, 0.0, context.count)
+    context.quarantine.note_failed("w0", "j1", 2.0, 0.0, context.count)
+    context.until = context.quarantine.note_failed("w0", "j2", 2.0, 0.0, context.count)
 
 
 @then("worker 0 gets no work for {seconds:g} s")
@@ -319,13 +319,13 @@
     assert context.until == seconds
 
 
-@when("something ends well on worker 0 and one job fails there")
+@when("a run succeeds on worker 0 and then one job fails there")
 def step_well(context: Any) -> None:
-    context.trust.note_done("w0")
-    context.until = context.trust.note_failed("w0", "j3", 2.0, 10.0, context.count)
+    context.quarantine.note_done("w0")
+    context.until = context.quarantine.note_failed("w0", "j3", 2.0, 10.0, context.count)
 
 
-@then("worker 0 goes on getting work")
+@then("worker 0 still gets work")
 def step_goes_on(context: Any) -> None:
     assert context.until == 0.0
 
@@ -335,7 +335,7 @@
     context.durations = Durations()
 
 
-@when("{count:d} runs of {seconds:g} s are seen")
+@when("{count:d} runs of {seconds:g} s end")
 def step_seen(context: Any, count: int, seconds: float) -> None:
     for number in range(count):
         context.durations.learn("q1", seconds * (3 if number % 2 else 0.3), seconds)
@@ -348,7 +348,7 @@
 
 
 def rank_all(board: Board, now: float) -> list[str]:
-    """Return the jobs that wait, the most pressing first."""
+    """Return the waiting jobs, the most urgent first."""
     entitled = find_entitled(board)
     ranked = sorted(
         board.list_waiting(now),
@@ -361,7 +361,7 @@
 
 @given("two waiting jobs of one queue, one of them late")
 def step_late(context: Any) -> None:
-    context.board = make_board()
+    context.board = make_fleet_state()
     step = Step(1, BIG, estimate_seconds=2.0)
     add_job(context.board, 1, 1, (step,), age=20.0)
     add_job(context.board, 2, 1, (step,), age=1.0)
@@ -372,9 +372,9 @@
     assert rank_all(context.board, 0.0)[0].endswith("2")
 
 
-@given("a waiting job of each priority, the most patient with the least slack")
+@given("a waiting job of each priority, the lowest with the least slack")
 def step_priorities(context: Any) -> None:
-    context.board = make_board()
+    context.board = make_fleet_state()
     for priority, seconds in ((2, 1.0), (1, 4.0), (0, 9.0)):
         add_job(
             context.board,
@@ -394,7 +394,7 @@
 def step_gang_runs(context: Any, count: int, each: int) -> None:
     step = Step(count, Need(100, 100, each), 1.0, gang=True, checkpoints=True)
     add_job(context.board, 1, 1, (step,))
-    carry_out(context.board, plan_at(context.board, 0.0), 0.0)
+    apply_plan(context.board, plan_at(context.board, 0.0), 0.0)
 
 
 @when(
@@ -415,17 +415,17 @@
 @given("domes and post are guaranteed {count:d} accelerators each")
 def step_guarantees(context: Any, count: int) -> None:
     worker = context.board.workers["w0"].entry
-    context.board = make_board(count)
+    context.board = make_fleet_state(count)
     add_worker(context.board, 0, worker.capacity.accelerators)
 
 
-@given("2 urgent tasks of domes and 2 patient tasks run")
+@given("2 urgent tasks of domes and 2 low-priority tasks run")
 def step_mixed(context: Any) -> None:
     urgent = Step(2, Need(0, 100, 1), 1.0)
-    patient = Step(2, Need(1000, 100, 1), 4.0)
+    low_priority = Step(2, Need(1000, 100, 1), 4.0)
     add_job(context.board, 0, 0, (urgent,))
-    add_job(context.board, 2, 1, (patient,), organisation="post")
-    carry_out(context.board, plan_at(context.board, 0.0), 0.0)
+    add_job(context.board, 2, 1, (low_priority,), organisation="post")
+    apply_plan(context.board, plan_at(context.board, 0.0), 0.0)
 
 
 @when("a gang of 3 accelerators and 4 tasks of 1 wait, all urgent and of post")
@@ -447,7 +447,9 @@
 
 @when("a job fails {seconds:g} s after it was started on worker 0")
 def step_fails_after(context: Any, seconds: float) -> None:
-    context.until = context.trust.note_failed("w0", "j1", seconds, 0.0, context.count)
+    context.until = context.quarantine.note_failed(
+        "w0", "j1", seconds, 0.0, context.count
+    )
 
 
 @given("a checkpointed task of 8 s runs on worker 0, and one without checkpoints")
@@ -461,14 +463,14 @@
         board.note_up(unit.members[0], 0.01)
 
 
-@when("worker 0 says that it leaves in {seconds:g} s")
+@when("worker 0 announces that it leaves in {seconds:g} s")
 def step_leaving(context: Any, seconds: float) -> None:
     worker = context.board.workers["w0"]
     worker.entry = replace(worker.entry, leaving=True)
     worker.leaves_at = 2.0 + seconds
 
 
-@then("nothing is taken off it at once")
+@then("nothing is moved off it at once")
 def step_not_yet(context: Any) -> None:
     assert not find_evacuations(context.board, context.durations, 2.0)
 
@@ -487,9 +489,10 @@
 
 
 @given(
-    "a patient gang of {count:d} tasks of {each:d} accelerators runs for {seconds:g} s"
+    "a low-priority gang of {count:d} tasks of {each:d} accelerators"
+    " runs for {seconds:g} s"
 )
-def step_patient_runs(context: Any, count: int, each: int, seconds: float) -> None:
+def step_low_priority_runs(context: Any, count: int, each: int, seconds: float) -> None:
     run_gang(context, 2, count, each, seconds)
 
 
@@ -498,12 +501,12 @@
 ) -> None:
     step = Step(count, Need(100, 100, each), seconds, gang=True)
     add_job(context.board, 1, priority, (step,))
-    carry_out(context.board, plan_at(context.board, 0.0), 0.0)
+    apply_plan(context.board, plan_at(context.board, 0.0), 0.0)
     context.unit = next(iter(context.board.jobs[f"{1:016x}"].units.values()))
-    assert context.unit.members, "it doesn't run"
+    assert context.unit.members, "the gang doesn't run"
 
 
-@given("it was moved twice")
+@given("it was restarted elsewhere twice")
 def step_moved(context: Any) -> None:
     context.unit.rescues = 2
 
@@ -521,16 +524,16 @@
     context.plan = plan_at(context.board, seconds)
 
 
-@then("the gang is started elsewhere")
+@then("the gang is restarted elsewhere")
 def step_elsewhere(context: Any) -> None:
-    (rescue,) = context.plan.rescues
-    assert rescue.unit is context.unit
+    (restart,) = context.plan.rescues
+    assert restart.unit is context.unit
     end_stopping(context.board)
     (start,) = plan_at(context.board, 2.4).starts
     assert start.unit is context.unit
 
 
-@then("the gang is left alone")
+@then("the gang is not restarted")
 def step_left_alone(context: Any) -> None:
     assert not context.plan.rescues
     assert not context.unit.abandoned
--- a/features/steps/work_freeing_steps.py
+++ b/features/steps/work_freeing_steps.py
@@ -1,4 +1,4 @@
-"""Steps for room that is being freed, and for whom."""
+"""Steps for room that is freed and held for a unit."""
 
 from dataclasses import replace
 from typing import Any
@@ -36,7 +36,7 @@
 
 
 @given(
-    "worker 0 holds {count:d} checkpointed patient tasks,"
+    "worker 0 holds {count:d} checkpointed low-priority tasks,"
     " and worker 1 others that take more"
 )
 def step_hold(context: Any, count: int) -> None:
@@ -69,7 +69,7 @@
 def step_end(context: Any, count: int) -> None:
     for unit in context.stopped[:count]:
         context.board.note_gone(unit.members[0], Proof.ENDED)
-        # Its job has no more to do with this.
+        # Its job must not wait again.
         context.board.finish(unit.job, JobState.CANCELLED)
 
 
@@ -86,7 +86,7 @@
     plan(context, later)
 
 
-@when("an urgent task of one accelerator that is more pressing waits {later:g} s later")
+@when("a more urgent task of one accelerator waits {later:g} s later")
 @when("an urgent task of one accelerator waits {later:g} s later")
 def step_task(context: Any, later: float) -> None:
     add_task(context, "domes", later)
@@ -146,7 +146,7 @@
     plan(context, later)
 
 
-@then("the tasks on worker 1 are stopped for the gang, as the exception")
+@then("the tasks on worker 1 are stopped for the gang, marked as stopped again")
 def step_again(context: Any) -> None:
     stops = list_stopped_for(context, GANG)
     assert find_stopped_on(stops) == {"w1"}, find_stopped_on(stops)
@@ -158,7 +158,7 @@
     context.board.finish(find_units(context.board, GANG)[0].job, JobState.CANCELLED)
 
 
-@when("all of the stopped tasks have ended, and others run as they did")
+@when("all of the stopped tasks have ended, and others run in their place")
 def step_replace(context: Any) -> None:
     count = len(context.stopped)
     step_end(context, count)
@@ -172,7 +172,7 @@
     plan(context, later)
 
 
-@then("for each of its tasks one other is stopped")
+@then("one other task is stopped for each of its tasks")
 def step_each_freed(context: Any) -> None:
     gainers = [stop.gainer for stop in context.plan.stops]
     units = find_units(context.board, 30)
--- a/features/steps/work_heavy_steps.py
+++ b/features/steps/work_heavy_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the decisions under more work than the fleet can hold."""
+"""Steps for scheduling decisions under more work than the fleet can hold."""
 
 from pathlib import Path
 from statistics import mean
@@ -8,7 +8,7 @@
 from tools.bench.site_driver import PLANNERS, SiteRun
 from tools.bench.site_measures import measure
 from tools.bench.site_workloads import draw_day, read_workload
-from work_decisions_steps import POOL, add_job, add_worker, make_board
+from work_decisions_steps import POOL, add_job, add_worker, make_fleet_state
 
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.planning import make_plan
@@ -25,7 +25,7 @@
 )
 
 WORKLOADS = Path("examples/workloads")
-# Jobs far back in time, so that none is late at the time of a step.
+# Well after 0, so that work can have begun long before.
 NOW = 100.0
 
 
@@ -35,17 +35,16 @@
 
 
 @given(
-    "a fleet of decisions with {racks:d} racks of {count:d} workers"
-    " of {each:d} accelerators"
+    "a fleet state with {racks:d} racks of {count:d} workers of {each:d} accelerators"
 )
 def step_racks(context: Any, racks: int, count: int, each: int) -> None:
-    context.board = make_board()
+    context.board = make_fleet_state()
     for number in range(racks * count):
         add_worker(context.board, number, each, rack=f"r{number % racks}")
 
 
-@given("{count:d} patient tasks without checkpoints run since {seconds:g} s")
-def step_patient(context: Any, count: int, seconds: float) -> None:
+@given("{count:d} low-priority tasks without checkpoints have run for {seconds:g} s")
+def step_low_priority(context: Any, count: int, seconds: float) -> None:
     began = NOW - seconds
     step = Step(count, Need(100, 100, 1), estimate_seconds=10.0)
     add_job(context.board, 1, 2, (step,), now=began)
@@ -56,7 +55,7 @@
         context.board.note_up(each.unit.members[0], began)
 
 
-@given("{count:d} patient tasks {saving} checkpoints run under an earlier owner")
+@given("{count:d} low-priority tasks {saving} checkpoints run under an earlier owner")
 def step_restored(context: Any, count: int, saving: str) -> None:
     need = Need(100, 100, 1)
     saves = saving == "with"
@@ -89,20 +88,20 @@
     plan(context)
 
 
-@then("one of the patient tasks is stopped")
+@then("one of the low-priority tasks is stopped")
 def step_one_stopped(context: Any) -> None:
     assert len(context.plan.stops) == 1, context.plan.stops
 
 
-@given("runs of {seconds:g} s whose callers said {said:g} s")
-def step_runs(context: Any, seconds: float, said: float) -> None:
+@given("runs of {seconds:g} s with callers' estimates of {estimate:g} s")
+def step_runs(context: Any, seconds: float, estimate: float) -> None:
     context.durations = Durations()
-    context.said = said
+    context.estimate = estimate
     for _ in range(10):
-        context.durations.learn("q1", said, seconds)
+        context.durations.learn("q1", estimate, seconds)
 
 
-@given("{count:d} accelerators are taken on each worker but the first of each rack")
+@given("{count:d} accelerators are in use on each worker but the first of each rack")
 def step_taken(context: Any, count: int) -> None:
     step = Step(1, Need(100, 100, count), estimate_seconds=60.0)
     racks = set()
@@ -117,14 +116,14 @@
 
 
 @when(
-    "a gang of {count:d} tasks of {each:d} accelerators that wants one rack"
+    "a gang of {count:d} tasks of {each:d} accelerators bound to one rack"
     " has waited for {seconds:g} s"
 )
 def step_gang_waited(context: Any, count: int, each: int, seconds: float) -> None:
     step = Step(
         count,
         Need(100, 100, each),
-        estimate_seconds=context.said,
+        estimate_seconds=context.estimate,
         gang=True,
         one_rack=True,
     )
@@ -144,8 +143,10 @@
     assert len(context.plan.starts) == 1, context.plan
 
 
-@when("{days:d} drawn days of {workload} are played by our plan and by first fit")
-def step_play(context: Any, days: int, workload: str) -> None:
+@when(
+    "{days:d} drawn days of {workload} are simulated with our plan and with first fit"
+)
+def step_simulate(context: Any, days: int, workload: str) -> None:
     drawn = read_workload(WORKLOADS / f"{workload}.json")
     context.figures = {}
     for name, planner in PLANNERS.items():
@@ -159,7 +160,8 @@
 
 
 @then(
-    "callers get at least {least:g} of what was owed, {more:g} more than by first fit"
+    "callers get at least {least:g} of the total worth,"
+    " {more:g} more than with first fit"
 )
 def step_all(context: Any, least: float, more: float) -> None:
     ours = find_mean(context, "primrosestile", "all")
@@ -182,7 +184,9 @@
     plan(context)
 
 
-@then("patient tasks are stopped that come to at most {times:g} times its own work")
+@then(
+    "low-priority tasks are stopped whose cost is at most {times:g} times its own work"
+)
 def step_in_proportion(context: Any, times: float) -> None:
     assert context.plan.stops, "nothing is stopped"
     first = context.plan.stops[0]
--- a/features/work/crashes.feature
+++ b/features/work/crashes.feature
@@ -1,14 +1,14 @@
-Feature: A task that crashes workers is given up, and the tasks beside it are not
-  Guards against a task that takes one worker after another down, and against ending
-  jobs whose tasks were only there.
+Feature: A poison task is given up, and the tasks beside it are not
+  Guards against a task that crashes one worker after another, and against failing jobs
+  whose tasks only ran on the same workers.
 
   Background:
     Given a fleet of 6 workers with 8 accelerators in 2 racks
-    And crashed workers are back after 3.5 s
+    And crashed workers restart after 3.5 s
     And 3 processes of ours
 
   Scenario: A task that crashes each worker that starts it is given up
-    Guards against starting it again without end, since no run of it is reported as failed.
+    Guards against restarting it without bound, since no run of it is reported as failed.
     Given task 0 of c1 crashes its worker after 0.01 s
     When job c1 is handed in with steps
       | count | accelerators |
@@ -19,7 +19,7 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: The owner changes between the crashes of one task
-    Guards against a count of crashes that begins anew with each owner.
+    Guards against a count of crashes that starts at zero with each owner.
     Given task 0 of c2 crashes its worker after 0.01 s
     When job c2 is handed in with steps
       | count | accelerators |
@@ -33,9 +33,9 @@
     Then at most 3 workers have crashed
     And the fleet's ledger shows nothing wrong
 
-  Scenario: The crashed workers answer nothing until they are back
-    Guards against taking workers that crash with their VM for workers that are cut off.
-    Given crashed workers are back after 9 s, and answer nothing until then
+  Scenario: The crashed workers answer nothing until they restart
+    Guards against taking workers that crash with their VM for partitioned workers.
+    Given crashed workers restart after 9 s, and answer nothing until then
     And task 0 of c3 crashes its worker after 0.01 s
     When job c3 is handed in with steps
       | count | accelerators |
@@ -45,9 +45,9 @@
     Then at most 5 workers have crashed
     And the fleet's ledger shows nothing wrong
 
-  Scenario: The crashed workers are back long after their lease
-    Guards against waiting for a sign that comes after three more starts.
-    Given crashed workers are back after 30 s
+  Scenario: The crashed workers restart long after their lease
+    Guards against waiting for proof of a crash that comes after three more starts.
+    Given crashed workers restart after 30 s
     And task 0 of c4 crashes its worker after 0.01 s
     When job c4 is handed in with steps
       | count | accelerators |
@@ -68,7 +68,7 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: A task crashes its worker some time after its start
-    Guards against counting only crashes that come at once.
+    Guards against counting only crashes right after a start.
     Given the tasks of c6 take 8 s
     And task 0 of c6 crashes its worker after 3 s
     When job c6 is handed in with steps
@@ -79,7 +79,7 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: One member of a gang crashes its worker
-    Guards against a count of the gang's ends in place of its member's crashes.
+    Guards against counting the gang's ends instead of its member's crashes.
     Given task 2 of c7 crashes its worker after 0.01 s
     When job c7 is handed in with steps
       | count | accelerators | gang |
@@ -88,8 +88,8 @@
     And at most 4 workers have crashed
     And the fleet's ledger shows nothing wrong
 
-  Scenario: Tasks of others run beside one that crashes its workers
-    Guards against ending jobs whose tasks were only on the same workers.
+  Scenario: Tasks of other jobs run beside a poison task
+    Guards against failing jobs whose tasks only ran on the same workers.
     Given the tasks of c8 take 6 s
     And task 0 of c9 crashes its worker after 0.01 s
     When job c8 is handed in with steps
@@ -103,7 +103,7 @@
     And at most 4 workers have crashed
     And the fleet's ledger shows nothing wrong
 
-  Scenario: The same task meets three workers that crash by themselves
+  Scenario: Three workers crash by themselves under the same task
     Guards against giving up a task that crashes nothing.
     Given the tasks of ca take 6 s
     When job ca is handed in with steps
@@ -127,20 +127,20 @@
     Then a task of cc runs within 3 s
     And job cc is shown as completed within 10 s
 
-  Scenario: A worker that was only cut off
-    Guards against counting a lease that ran out as a crash.
+  Scenario: A worker is only partitioned
+    Guards against counting an expired lease as a crash.
     Given the tasks of cd take 30 s
     When job cd is handed in with steps
       | count | accelerators |
       | 1     | 1            |
-    And the worker that runs cd is cut off for 12 s, 4 times
+    And the worker that runs cd is partitioned for 12 s, 4 times
     Then job cd is shown as completed within 50 s
     And the fleet's ledger shows nothing wrong
 
   Scenario Outline: Days with tasks and workers that crash, and owners that change
-    Guards against giving up the wrong jobs, or none, in whichever order crashes are heard.
+    Guards against giving up the wrong jobs, or none, in any order of detected crashes.
     When a day of crashes is drawn with seed <seed>
-    Then every job of that day ended as it should
+    Then every job of that day ended as expected
 
     Examples:
       | seed |
@@ -154,35 +154,36 @@
       | 8    |
 
   Scenario: A task is to start on a worker that has just crashed
-    Guards against deciding on the same worker again and again until it counts as silent.
-    Given crashed workers are back after 9 s
+    Guards against choosing the same worker again and again until it counts as silent.
+    Given crashed workers restart after 9 s
     And the tasks of ce take 2 s
     When worker w1 crashes by itself
     And job ce is handed in with steps
       | count | accelerators |
       | 6     | 8            |
     And 1.5 s pass
-    Then no task of ce has been decided on more than 2 times
+    Then no task of ce has had more than 2 runs
     And job ce is shown as completed within 12 s
     And the fleet's ledger shows nothing wrong
 
-  Scenario: A task waits for a worker of its own beside a sibling that need not
-    Guards against taking the first for the others of its step, which then wait as well.
-    Given a picture of 2 workers in use, and 2 tasks of a step that met 2 and 1 crashes
+  Scenario: A task waits for a worker of its own while a task of its step need not
+    Guards against treating the tasks of a step as alike, so that all of them wait.
+    Given a fleet state with 2 workers in use, and 2 tasks of a step with 2 and 1 crashes
     When a pass is planned
-    Then only the task that met 1 crash is started
+    Then only the task with 1 crash is started
 
-  Scenario: What became of a silent worker shows only at the next one's answer
-    Guards against forgetting a crash since another worker answers at the address.
-    Given a picture of a worker that fell silent with a task of cf on it
-    When the worker itself is listed again
+  Scenario: A silent worker's crash is counted when another incarnation answers
+    Guards against losing a crash because its worker's own entry is listed again before
+    another incarnation answers at the address.
+    Given a fleet state with a worker that fell silent with a task of cf on it
+    When the same incarnation is listed again
     Then no crash of cf is counted
-    When another worker answers at its address
+    When another incarnation answers at its address
     Then 1 crash of cf is counted
 
   Scenario: A silent worker answers again
-    Guards against counting a cut as a crash once its worker is replaced later.
-    Given a picture of a worker that fell silent with a task of cf on it
-    When the worker itself answers
-    And another worker answers at its address
+    Guards against counting a partition as a crash when the worker is replaced later.
+    Given a fleet state with a worker that fell silent with a task of cf on it
+    When the same incarnation answers
+    And another incarnation answers at its address
     Then no crash of cf is counted
