--- a/features/steps/work_decisions_steps.py
+++ b/features/steps/work_decisions_steps.py
@@ -57,7 +57,7 @@
         rack=fields.get("rack", f"r{number % 2}"),
         leaving=fields.get("leaving", False),
     )
-    board.add_worker(entry).in_hand = fields.get("in_hand", True)
+    board.add_worker(entry).in_hand = fields.get("acquired", True)
 
 
 def add_job(
--- a/src/primrosestile/decisions/work/planning.py
+++ b/src/primrosestile/decisions/work/planning.py
@@ -165,24 +165,24 @@
         Their locality wait starts over: a gang of 1.3 s that went to two racks because
         it had waited long enough took 4.2 s there.
         """
-        for rescue in self.mechanisms.rescuing(self.board, self.durations, self.now):
-            unit = rescue.unit
+        for restart in self.mechanisms.rescuing(self.board, self.durations, self.now):
+            unit = restart.unit
             elsewhere = copy_rooms(self.future_rooms)
             give_back(unit, elsewhere)
-            elsewhere.pop(rescue.worker.name, None)
+            elsewhere.pop(restart.worker.name, None)
             began = unit.ready_at
             unit.ready_at = self.now
             workers = self._place(unit, elsewhere)
             if workers is None:
                 unit.ready_at = began
                 continue
-            self.rescues.append(rescue)
+            self.rescues.append(restart)
             unit.rescues += 1
             self.board.abandon(unit)
             give_back(unit, self.future_rooms)
             take_rooms(unit, workers, self.future_rooms)
-            self.rooms.pop(rescue.worker.name, None)
-            self.future_rooms.pop(rescue.worker.name, None)
+            self.rooms.pop(restart.worker.name, None)
+            self.future_rooms.pop(restart.worker.name, None)
 
     def _is_entitled(self, unit: Unit) -> bool:
         return unit.job.job_id in self.entitled
