--- a/src/primrosestile/decisions/work/placing.py
+++ b/src/primrosestile/decisions/work/placing.py
@@ -273,26 +273,26 @@
     if sum(count for count, _ in list_fitting(unit, eligible)) < unit.size:
         return None
     waited = now - (unit.ready_at or now)
-    patient = waited < locality_wait
+    waits_for_rack = waited < locality_wait
     if unit.crashes:
         # With two suspects on one worker, its next crash would count for both.
         apart = [room for room in eligible if not room.suspected]
-        workers = _place_in(unit, apart, patient)
+        workers = _place_in(unit, apart, waits_for_rack)
         if workers is not None:
             return workers
     if unit.job.queue.priority == 0:
         fast = [room for room in eligible if room.worker.name not in slow]
         for group in ([room for room in fast if not room.is_reserved], fast):
-            workers = _place_in(unit, group, patient)
+            workers = _place_in(unit, group, waits_for_rack)
             if workers is not None:
                 return workers
-    return _place_in(unit, eligible, patient)
+    return _place_in(unit, eligible, waits_for_rack)
 
 
 def _place_in(
-    unit: Unit, eligible: Sequence[Room], patient: bool
+    unit: Unit, eligible: Sequence[Room], waits_for_rack: bool
 ) -> list[Worker] | None:
-    for group in list_groups(unit, eligible, patient):
+    for group in list_groups(unit, eligible, waits_for_rack):
         workers = fill(unit, group)
         if workers is not None:
             return workers
@@ -300,7 +300,7 @@
 
 
 def list_groups(
-    unit: Unit, eligible: Sequence[Room], patient: bool
+    unit: Unit, eligible: Sequence[Room], waits_for_rack: bool
 ) -> list[list[Room]]:
     """Return groups of rooms in the order in which they are to be tried."""
     step = unit.step
@@ -315,7 +315,7 @@
         groups += sorted(racks.values(), key=_count_free)
     else:
         return [list(eligible)]
-    if not patient or not any(could_hold(unit, group) for group in groups):
+    if not waits_for_rack or not any(could_hold(unit, group) for group in groups):
         groups.append(list(eligible))
     return groups
 
--- a/src/primrosestile/decisions/work/units.py
+++ b/src/primrosestile/decisions/work/units.py
@@ -226,7 +226,7 @@
         return f"{self.job.job_id}.{self.key.occurrence}.{self.key.step}.{number}"
 
     def make_record(self) -> UnitRecord:
-        """Return what the store keeps of it."""
+        """Return its record for the store."""
         workers: tuple[str, ...] = ()
         if self.phase is Phase.ORDERED:
             workers = tuple(member.worker for member in self.members)
@@ -285,7 +285,7 @@
         )
 
     def make_progress(self) -> Progress:
-        """Return what the store keeps of it."""
+        """Return its record for the store."""
         units = tuple(
             unit.make_record()
             for unit in self.units.values()
--- a/src/primrosestile/decisions/work/upkeep.py
+++ b/src/primrosestile/decisions/work/upkeep.py
@@ -118,7 +118,7 @@
     """
     worker = fleet_state.workers.get(vm.worker)
     silent = {each.name for each in fleet_state.workers.values() if not each.in_hand}
-    return worker is None or _bears(worker, silent.union(taken))
+    return worker is None or _respects_away_limits(worker, silent.union(taken))
 
 
 def _find_loss(worker: Worker | None, now: float) -> tuple[bool, float]:
@@ -149,7 +149,7 @@
     return tuple(found.values())
 
 
-def _bears(worker: Worker, taken: Collection[str]) -> bool:
+def _respects_away_limits(worker: Worker, taken: Collection[str]) -> bool:
     """Whether its services stay within their away limits if the worker goes too."""
     for member in worker.members.values():
         step = member.unit.step
