--- a/src/primrosestile/coordination/work/workerclock.py
+++ b/src/primrosestile/coordination/work/workerclock.py
@@ -1,12 +1,12 @@
-"""What is known of a worker's steady clock, and of its lease by that clock.
-
-A worker's lease is judged by the times that it tells. One wrong time would do harm: far
-ahead, it makes the lease seem over as soon as the worker falls silent, and its tasks
-start elsewhere while they run; `worker_lease_over` comes within a second of the last
-answer. So a time is believed only as far as our own steady clock bears it out: both run
-at one speed, or nearly, so all that a worker ever told leaves little room for what it
-tells next. Where a time may be wrong by less than that room, the lease is judged by the
-second of two.
+"""Estimates a worker's monotonic clock, and the end of its lease by that clock.
+
+A worker's lease is judged by the times that it reports. A single wrong one would do
+harm: if it is far ahead, the lease seems over as soon as the worker is silent, and its
+tasks start elsewhere while they run; `worker_lease_over` comes within a second of the
+last answer. So a time is accepted only if it agrees with our own monotonic clock: both
+run at nearly the same speed, so all earlier times of a worker leave narrow bounds for
+the next one. A time may still be wrong by less than these bounds, so the lease is
+judged by the second highest estimate.
 """
 
 import math
@@ -14,171 +14,182 @@
 
 import structlog
 
-# Long enough that a change of owner (2.5 s of its lease and a second to read and
-# ask) lets nothing lapse, and a cut of five seconds heals in time; short enough
-# that the work of a worker that is gone is started again while it is still wanted.
+# Long enough that no lease lapses during a change of owner (2.5 s of its lease and a
+# second to load and poll) or a network partition of five seconds; short enough that the
+# work of a lost worker starts again while it is still wanted.
 LEASE_SECONDS = 7.0
-# A worker's clock may be 2% slow; a little more, and the way of one message
-# (SLOW_CLOCK_ALLOWED_FOR).
+# A worker's clock may be 2% slow; this allows a little more, and the margin covers the
+# delay of one message (SLOW_CLOCK_ALLOWED_FOR).
 SLOW_CLOCK_FACTOR = 0.97
 CLOCK_MARGIN_SECONDS = 0.3
-# As much where the slow clock is ours.
+# The same allowance if the slow clock is ours.
 FAST_CLOCK_FACTOR = 1.03
-# Times are told in whole milliseconds.
-TOLD_MARGIN_SECONDS = 0.01
-# Times that contradict all before them and agree with one another for as long as this
-# are taken for a clock that was set. A lease that was asked for outlasts it.
-ANEW_SECONDS = 3.0
+# Times are reported in whole milliseconds.
+ROUNDING_MARGIN_SECONDS = 0.01
+# If times contradict all earlier ones and agree with one another for this long, the
+# worker's clock was set. It is shorter than a lease.
+CLOCK_SET_SECONDS = 3.0
 
 _log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A time that a worker told, in seconds, and ours around that.
+    """A time that a worker reported, and our times around it, in seconds.
 
     Attributes:
-        told: Its time at some moment between the other two.
+        worker_time: The worker's time at some moment between the other two.
         sent_at: When we sent the call.
-        came_at: When its answer came.
+        received_at: When its answer arrived.
     """
 
-    told: float
+    worker_time: float
     sent_at: float
-    came_at: float
+    received_at: float
 
 
-class _Room:
-    """Between which times a worker's clock must be, by what it has told.
+class _ClockBounds:
+    """The bounds of a worker's clock by its accepted readings.
 
-    An honest reading lies within the room that honest ones leave, in whichever order
-    their answers come.
+    A correct reading lies within the bounds of other correct ones, in whichever order
+    their answers arrive.
     """
 
     def __init__(self, reading: Reading) -> None:
         self.first = self.latest = reading
-        # Offsets from our own time, run at the one factor or the other. Of the lowest
-        # that the clock can be at, the second counts: another reading bears it out.
-        self._most = reading.told - reading.sent_at * FAST_CLOCK_FACTOR
-        self._highest = reading.told - reading.came_at * SLOW_CLOCK_FACTOR
-        self._second = -math.inf
-
-    def holds(self, reading: Reading) -> bool:
-        """Whether a reading may come from the clock that these came from."""
-        least = self.find_least(reading.sent_at) - TOLD_MARGIN_SECONDS
-        most = self._most + reading.came_at * FAST_CLOCK_FACTOR + TOLD_MARGIN_SECONDS
-        return least <= reading.told <= most
-
-    def take(self, reading: Reading) -> None:
-        """Take a reading in that the room holds."""
-        if reading.told > self.latest.told:
+        # Offsets from our own time, scaled by one factor or the other. Of the lower
+        # bounds, the second highest counts: it is confirmed by another reading.
+        self._upper = reading.worker_time - reading.sent_at * FAST_CLOCK_FACTOR
+        self._lower = reading.worker_time - reading.received_at * SLOW_CLOCK_FACTOR
+        self._second_lower = -math.inf
+
+    def contains(self, reading: Reading) -> bool:
+        """Whether a reading may come from the same clock as the earlier ones."""
+        lower = self.find_lower_bound(reading.sent_at) - ROUNDING_MARGIN_SECONDS
+        upper = (
+            self._upper
+            + reading.received_at * FAST_CLOCK_FACTOR
+            + ROUNDING_MARGIN_SECONDS
+        )
+        return lower <= reading.worker_time <= upper
+
+    def narrow(self, reading: Reading) -> None:
+        """Narrow the bounds by a reading that they hold."""
+        if reading.worker_time > self.latest.worker_time:
             self.latest = reading
-        self._most = min(self._most, reading.told - reading.sent_at * FAST_CLOCK_FACTOR)
-        least = reading.told - reading.came_at * SLOW_CLOCK_FACTOR
-        self._second = max(self._second, min(least, self._highest))
-        self._highest = max(self._highest, least)
+        self._upper = min(
+            self._upper, reading.worker_time - reading.sent_at * FAST_CLOCK_FACTOR
+        )
+        lower = reading.worker_time - reading.received_at * SLOW_CLOCK_FACTOR
+        self._second_lower = max(self._second_lower, min(lower, self._lower))
+        self._lower = max(self._lower, lower)
 
-    def find_least(self, now: float) -> float:
-        """Return what the clock has surely reached, however slow it runs."""
-        alone = self._second == -math.inf
-        return (self._highest if alone else self._second) + now * SLOW_CLOCK_FACTOR
+    def find_lower_bound(self, now: float) -> float:
+        """Return the time that the clock has certainly reached, however slow it is."""
+        alone = self._second_lower == -math.inf
+        return (self._lower if alone else self._second_lower) + now * SLOW_CLOCK_FACTOR
 
 
 class WorkerClock:
-    """One worker's clock as its answers tell it.
+    """One worker's clock, estimated from its answers.
 
     Attributes:
-        until: What its lease surely ends by; infinite while that is not known.
+        until: The latest possible end of its lease; infinite while unknown.
     """
 
-    def __init__(self, worker: str, lease_longest: float) -> None:
-        """Know nothing yet.
+    def __init__(self, worker: str, max_lease_seconds: float) -> None:
+        """Begin without a reading.
 
         Args:
             worker: For the log.
-            lease_longest: Seconds from its arrival that any extension lasts at most.
+            max_lease_seconds: The most that any extension lasts from its arrival.
         """
         self.until = math.inf
         self._worker = worker
-        self._longest = max(lease_longest, LEASE_SECONDS)
-        self._room: _Room | None = None
-        # What may be another clock, or the first reading of all.
-        self._doubted: _Room | None = None
-        self._set = False
+        self._max_lease_seconds = max(max_lease_seconds, LEASE_SECONDS)
+        self._bounds: _ClockBounds | None = None
+        # Readings of a clock that may have been set, or the very first reading.
+        self._candidate: _ClockBounds | None = None
+        self._was_set = False
 
     @property
     def known(self) -> bool:
-        """Whether two readings ever agreed."""
-        return self._room is not None
+        """Whether two readings have agreed."""
+        return self._bounds is not None
 
     def note(self, reading: Reading) -> None:
-        """Take in a time that came with the answer to a call of ours."""
-        if self._room is not None and self._room.holds(reading):
-            self._room.take(reading)
-            self._doubted = None
+        """Process the time in the answer to a call of ours."""
+        if self._bounds is not None and self._bounds.contains(reading):
+            self._bounds.narrow(reading)
+            self._candidate = None
             return
-        if self._doubted is None or not self._doubted.holds(reading):
-            self._doubted = _Room(reading)
+        if self._candidate is None or not self._candidate.contains(reading):
+            self._candidate = _ClockBounds(reading)
             self._log_doubt(reading)
             return
-        self._doubted.take(reading)
-        agreed_for = reading.came_at - self._doubted.first.came_at
-        if self._room is None or agreed_for >= ANEW_SECONDS:
-            self._begin_anew(self._doubted)
+        self._candidate.narrow(reading)
+        agreed_for = reading.received_at - self._candidate.first.received_at
+        if self._bounds is None or agreed_for >= CLOCK_SET_SECONDS:
+            self._replace_bounds(self._candidate)
 
     def _log_doubt(self, reading: Reading) -> None:
-        if self._room is not None:
+        if self._bounds is not None:
             _log.warning(
                 "worker_time_doubted",
                 worker=self._worker,
-                told=round(reading.told, 3),
-                expected=round(self.estimate(reading.came_at), 3),
+                told=round(reading.worker_time, 3),
+                expected=round(self.estimate(reading.received_at), 3),
             )
 
-    def _begin_anew(self, room: _Room) -> None:
-        """Go by readings that agree with one another.
+    def _replace_bounds(self, bounds: _ClockBounds) -> None:
+        """Rely on readings that agree with one another.
 
         Until it answered our fence, a worker obeyed earlier owners, whose extensions
-        we never saw: its lease may last the longest that there is from then on. Were
-        the lease taken as what we ourselves have asked for, which is nothing yet, the
-        next silence would count it as over, and its tasks would start elsewhere while
-        they run; `worker_lease_over` would come within a second of `ownership_gained`.
+        we don't know: its lease may last the longest duration from then on. If only our
+        own requests counted, of which there are none yet, the lease would count as over
+        at the next silence, and its tasks would start elsewhere while they run;
+        `worker_lease_over` would come within a second of `ownership_gained`.
         """
-        if self._room is not None:
-            self._set = True
+        if self._bounds is not None:
+            self._was_set = True
             _log.warning(
                 "worker_time_taken_anew",
                 worker=self._worker,
-                told=round(room.latest.told, 3),
+                told=round(bounds.latest.worker_time, 3),
             )
-        self._room = room
-        self._doubted = None
-        # No owner asks for more than our own length; one call of this very term may
-        # still be on its way, and on some platforms the longest is shorter.
-        self.until = room.latest.told + self._longest
+        self._bounds = bounds
+        self._candidate = None
+        # The longest is at least the length that owners request, even if the platform's
+        # is shorter: one call of this term may still be on its way.
+        self.until = bounds.latest.worker_time + self._max_lease_seconds
 
     def estimate(self, now: float) -> float:
-        """Return its time now, as if both ran at one speed."""
-        assert self._room is not None, "it was never read"
-        latest = self._room.latest
-        return latest.told + (now - latest.came_at)
+        """Return its time now, assuming that both clocks run at the same speed."""
+        assert self._bounds is not None, "the clock has no reading yet"
+        latest = self._bounds.latest
+        return latest.worker_time + (now - latest.received_at)
 
     def extend(self, now: float) -> float:
-        """Return the end of the lease to ask for.
+        """Return the end of the lease to request.
 
-        Where the worker told two clocks, or one for a moment only, it may judge by
-        another, and what is asked for by the wrong one lasts the longest that there is.
+        If the worker has reported two clocks, or one only briefly, its true clock may
+        be another, and a lease requested by the wrong one may last the longest
+        duration.
         """
-        assert self._room is not None, "it was never read"
+        assert self._bounds is not None, "the clock has no reading yet"
         time = self.estimate(now)
-        told_for = self._room.latest.came_at - self._room.first.came_at
-        sure = told_for > ANEW_SECONDS and self._doubted is None and not self._set
-        lasts = LEASE_SECONDS if sure else self._longest
+        covered = self._bounds.latest.received_at - self._bounds.first.received_at
+        sure = (
+            covered > CLOCK_SET_SECONDS
+            and self._candidate is None
+            and not self._was_set
+        )
+        lasts = LEASE_SECONDS if sure else self._max_lease_seconds
         self.until = max(self.until, time + lasts)
         return time + LEASE_SECONDS
 
     def is_lease_over(self, now: float) -> bool:
-        """Whether its lease has surely run out."""
-        if self._room is None:
+        """Whether its lease has certainly run out."""
+        if self._bounds is None:
             return False
-        return self._room.find_least(now) > self.until + CLOCK_MARGIN_SECONDS
+        return self._bounds.find_lower_bound(now) > self.until + CLOCK_MARGIN_SECONDS
