--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -78,7 +78,7 @@
     settings = parse_settings(context.lines)
     assert settings.callers_address == "127.0.0.1:8521"
     assert settings.store_address == "127.0.0.1:8524"
-    assert settings.inner_ports == (7000, 7015)
+    assert settings.internal_ports == (7000, 7015)
     assert settings.bounds.key_revoked == 5.0
     assert settings.bounds.lease_longest == 10.0
 
@@ -147,7 +147,7 @@
     step = context.submission.steps[1]
     assert step.need == Need(500, 256, 2)
     assert (step.count, step.estimate_seconds, step.after) == (4, 0.9, (0,))
-    assert step.gang and step.one_rack and step.checkpoints and step.racing
+    assert step.gang and step.one_rack and step.checkpoints and step.speculative
     assert (step.label, step.data_rack, step.most_per_worker) == ("a", "r1-3", 2)
     assert step.lasting and step.filling
     assert (step.image, step.target_seconds, step.away_limit) == ("im", 0.08, 1)
@@ -176,7 +176,7 @@
     assert (context.policy.version, context.policy.revision) == (7, 12)
     assert context.policy.keys == {"key-domes": "domes", "key-post": "post"}
     assert context.policy.guarantees == {"domes": 32, "post": 0}
-    assert context.policy.pools["engine"].guards_capacity
+    assert context.policy.pools["engine"].enforces_capacity
     assert context.policy.limits.body_bytes == 262_144
 
 
--- a/features/steps/platform_upkeep_steps.py
+++ b/features/steps/platform_upkeep_steps.py
@@ -30,7 +30,7 @@
     "m4": (409, "busy", UpkeepAnswer.BUSY),
     "m5": (409, "wave", UpkeepAnswer.NOT_THERE),
     "m6": (400, "", UpkeepAnswer.NOT_THERE),
-    "m7": (429, "", UpkeepAnswer.NOT_TAKEN),
+    "m7": (429, "", UpkeepAnswer.THROTTLED),
 }
 UNCLEAR = {"m8": 500, "m9": 502, "m10": 503, "m11": 504, "m12": 404}
 
--- a/src/primrosestile/platform/__init__.py
+++ b/src/primrosestile/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Meets the users' platform: its names, formats and calls, and nothing that decides.
+"""Adapter to the users' platform: its names, formats and calls; makes no decisions.
 
-Its names are decoded here once, into types of `state` and `protocol`; no other
-package knows them.
+The platform's names are decoded here into types of `state` and `protocol`; no other
+package uses them.
 """
--- a/src/primrosestile/platform/advice.py
+++ b/src/primrosestile/platform/advice.py
@@ -1,4 +1,4 @@
-"""Questions to the platform's advice service over HTTP."""
+"""Client of the platform's advice service over HTTP."""
 
 from collections.abc import Collection
 from typing import Any
@@ -16,16 +16,16 @@
 from primrosestile.protocol.advice import Advice, Allowed
 from primrosestile.transport.connections import Connections, FailureKinds
 
-# Over what the answer is expected to take: a question that waits behind another one.
+# Added to the expected answer time: the query may be queued behind another one.
 SLACK_SECONDS = 1.0
-# Tickets have about twenty characters, and are sent back with each start.
+# Tickets have about twenty characters, and are sent to the worker with each start.
 TICKET_LIMIT = 1000
 
 _KINDS = FailureKinds(ErrorKind.ADVICE_UNAVAILABLE, ErrorKind.ADVICE_UNAVAILABLE)
 
 
 class _Advice(msgspec.Struct, frozen=True):
-    """`good`: rows of worker and ticket. Rows may come to have more fields."""
+    """`good`: rows of worker and ticket. Rows may gain more fields."""
 
     good: list[Any]
 
@@ -37,11 +37,11 @@
         self,
         address: str,
         connections: Connections,
-        refusals: Refusals | None = None,
+        rejections: Refusals | None = None,
     ) -> None:
         self._address = address
         self._connections = connections
-        self._refusals = refusals or Refusals()
+        self._rejections = rejections or Refusals()
 
     async def ask(self, step: str, workers: tuple[str, ...], seconds: float) -> Advice:
         """Return those of some workers on which a step may run."""
@@ -58,23 +58,23 @@
             raise Failure(ErrorKind.ADVICE_UNAVAILABLE, f"answered {reply.status}")
         try:
             answer = decode_json(reply.body, _Advice)
-        except Unreadable as refusal:
-            self._refusals.settle(Source.ADVICE, "", {"answer": refusal})
-            detail = f"unreadable answer: {refusal}"
-            raise Failure(ErrorKind.ADVICE_UNAVAILABLE, detail) from refusal
+        except Unreadable as rejection:
+            self._rejections.settle(Source.ADVICE, "", {"answer": rejection})
+            detail = f"unreadable answer: {rejection}"
+            raise Failure(ErrorKind.ADVICE_UNAVAILABLE, detail) from rejection
         return self._read_rows(answer.good, workers)
 
     def _read_rows(self, rows: list[Any], workers: Collection[str]) -> Advice:
-        """Return the rows that can be read, and whether these are all."""
+        """Return the readable rows, and whether all rows were readable."""
         allowed = []
-        refused: dict[str, Unreadable] = {}
+        rejected: dict[str, Unreadable] = {}
         for row in rows:
             try:
                 allowed.append(_read_row(row, workers))
-            except Unreadable as refusal:
-                refused[f"row {refusal.fault}"] = refusal
-        self._refusals.settle(Source.ADVICE, "", refused)
-        return Advice(tuple(allowed), complete=not refused)
+            except Unreadable as rejection:
+                rejected[f"row {rejection.fault}"] = rejection
+        self._rejections.settle(Source.ADVICE, "", rejected)
+        return Advice(tuple(allowed), complete=not rejected)
 
 
 def _read_row(row: Any, workers: Collection[str]) -> Allowed:
--- a/src/primrosestile/platform/callers.py
+++ b/src/primrosestile/platform/callers.py
@@ -1,4 +1,4 @@
-"""Jobs as callers on the platform hand them in, and the answers they read."""
+"""Decodes the jobs that callers on the platform submit, and encodes the answers."""
 
 import msgspec
 
@@ -10,8 +10,8 @@
 PAYLOAD_LIMIT_BYTES = 4000
 KEY_SCHEME = "Token"
 DEADLINE_HEADER = "Deadline-Ms"
-# More steps or tasks than this no caller has; a body that names them is a mistake
-# and would hold the scheduler up for everybody else.
+# No caller has more steps or tasks than this; a body with more is a mistake, and would
+# delay scheduling for all other callers.
 STEP_LIMIT = 64
 TASK_LIMIT = 4096
 
@@ -45,7 +45,7 @@
 
 
 class _Job(msgspec.Struct, frozen=True):
-    """`start_at_ms`: milliseconds since 1970; holds only with `repeat_count`."""
+    """`start_at_ms`: milliseconds since 1970; ignored without `repeat_count`."""
 
     spec: str
     steps: list[_Step]
@@ -62,7 +62,7 @@
 def read_submission(
     body: bytes, job_id: str, queue: Queue, organisation: str, accepted_at: float
 ) -> Submission:
-    """Return the job of a body.
+    """Decode the job in a request body.
 
     Raises:
         Failure: MALFORMED when the body is not a job.
@@ -118,7 +118,7 @@
         data_rack=step.affinity,
         most_per_worker=step.anti_affinity,
         checkpoints=step.checkpoint,
-        racing=step.speculative,
+        speculative=step.speculative,
         lasting=step.daemon,
         image=step.image,
         target_seconds=step.target_ms / 1000,
@@ -128,10 +128,10 @@
 
 
 def make_state_body(state: JobState) -> bytes:
-    """Return the answer to a question for a job's state."""
+    """Return the answer to a query for a job's state."""
     return msgspec.json.encode({"state": state.value})
 
 
 def make_pending_body(count: int) -> bytes:
-    """Return the answer to a question for a queue's waiting jobs."""
+    """Return the answer to a query for the number of a queue's waiting jobs."""
     return msgspec.json.encode({"pending": count})
--- a/src/primrosestile/platform/entries.py
+++ b/src/primrosestile/platform/entries.py
@@ -1,8 +1,8 @@
-"""Workers' entries in the store, read strictly.
+"""Strict validation of workers' entries in the store.
 
-Another program may have written one. It names a worker only when every field that
-workers write is there, of its type and within its range; what is passed on here is
-used for placing, for addresses and for headers without further checks.
+Other programs may write under these keys. An entry is accepted only when every field
+that workers write is present, of its type and within its range; accepted values are
+used for placement, as addresses and in headers without further checks.
 """
 
 import ipaddress
@@ -18,24 +18,24 @@
 from primrosestile.state.work import Need
 from primrosestile.state.workers import WorkerEntry
 
-# Workers' entries in the store, each under the worker's name.
+# Each worker's entry has its key under this prefix, followed by the worker's name.
 WORKERS_PREFIX = "servers/"
-# A worker writes about 300 bytes. Whatever is longer isn't decoded at all, so that it
-# costs less to refuse than a good one costs to read.
+# A worker writes about 300 bytes. A longer entry is not decoded, so that rejecting it
+# costs less than reading a valid one.
 ENTRY_LIMIT_BYTES = 16_384
-# The store's keys have 200 bytes at the most, and this is sent in a header: a line
-# break in it would fail each call to the worker by an error that nobody handles.
+# The store's keys have at most 200 bytes. The name is sent in a header: a line break in
+# it would fail each call to the worker with an unhandled error.
 _NAME = re.compile(r"[!-.0-~]{1,190}")
-# No VM has more, by far: thousandths of a core, megabytes, accelerators. One entry
-# with a larger figure would seem to have room for everything.
+# Far above any VM: thousandths of a core, megabytes, accelerators. An entry with larger
+# figures would appear to have capacity for everything.
 PROCESSOR_LIMIT = 10_000_000
 MEMORY_LIMIT_MB = 100_000_000
 ACCELERATORS_LIMIT = 10_000
-# A worker that leaves stays for seconds to minutes.
+# A day. A leaving worker stays for seconds to minutes.
 LEAVING_LIMIT_MS = 86_400_000.0
 PORT_LIMIT = 65_535
 # Several times the workers of the largest fleet.
-ADDRESSES_KEPT = 2048
+ADDRESS_CACHE_SIZE = 2048
 READY = "ready"
 LEAVING = "draining"
 
@@ -53,10 +53,10 @@
 
 
 class _Server(msgspec.Struct, frozen=True):
-    """A worker's entry; `remaining_ms` is there only while it is leaving.
+    """A worker's entry; `remaining_ms` is present only while it is leaving.
 
-    Fields that nothing here uses are asked for all the same: without them it is not
-    a worker that wrote.
+    Fields that are not used here are still required: an entry without them was not
+    written by a worker.
     """
 
     service: _Text
@@ -73,14 +73,14 @@
 
 
 def read_worker(entry: Entry, pools: Collection[str] | None = None) -> WorkerEntry:
-    """Return what a worker says of itself.
+    """Decode and validate a worker's entry.
 
     Args:
-        entry: As stored.
-        pools: Those that the policy names; None when that is not to be checked.
+        entry: The stored entry.
+        pools: Pools that the policy names; None to skip this check.
 
     Raises:
-        Unreadable: When it names no worker to use.
+        Unreadable: When the entry is not that of a usable worker.
     """
     name = entry.key.removeprefix(WORKERS_PREFIX)
     if not _NAME.fullmatch(name):
@@ -98,7 +98,7 @@
         failure_domain=server.zone,
         capacity=Need(capacity.cpu, capacity.mem_mb, capacity.gpu),
         labels=labels,
-        # The kind of worker comes first, the rack second.
+        # The first label is the kind of worker, the second its rack.
         rack=labels[1] if len(labels) > 1 else server.zone,
         leaving=server.state == LEAVING,
         leaving_seconds=server.remaining_ms / 1000,
@@ -121,11 +121,11 @@
         raise Unreadable(Fault.RANGE, "capacity")
 
 
-@lru_cache(ADDRESSES_KEPT)
+@lru_cache(ADDRESS_CACHE_SIZE)
 def _is_address(text: str) -> bool:
-    """Whether a text is `ip:port`, an address of version 6 in brackets.
+    """Whether a text is `ip:port`, with IPv6 addresses in brackets.
 
-    Kept, since a worker's address stays and its entry is read twice a second.
+    Cached, since a worker's address rarely changes but is read twice a second.
     """
     host, _, port = text.rpartition(":")
     if not (port.isascii() and port.isdecimal() and 0 < len(port) <= 5):
--- a/src/primrosestile/platform/looks.py
+++ b/src/primrosestile/platform/looks.py
@@ -1,9 +1,9 @@
-"""Workers' answers to looks, read row by row.
+"""Decodes workers' answers to polls, row by row.
 
-A row that can't be read is passed over by itself, but what it may have told must not
-be concluded from its absence: the run in it would be started a second time while it
-goes on, or an end in it would be forgotten by the worker before anybody took note.
-The look then says that it is not complete, and up to which end it may be forgotten.
+An unreadable row is skipped on its own, but its run or end must not count as absent:
+the run would be started a second time while it continues, or the end would be
+acknowledged, and dropped by the worker, before it was recorded. The decoded answer
+therefore says that it is incomplete, and up to which end it may be acknowledged.
 """
 
 from typing import Annotated, Any
@@ -14,25 +14,25 @@
 from primrosestile.protocol.fleet import EndedTask, RunningTask, WorkerLook
 from primrosestile.state.workers import EndKind
 
-# Ten years. A reading past this would make every lease seem to have run out.
+# Ten years. With a later reading every lease would appear to have expired.
 CLOCK_LIMIT_MS = 3.2e11
 PERCENT_LIMIT = 100.0
-# A figure of usage is milliseconds or thousandths of a core.
+# Usage is in milliseconds or thousandths of a core.
 USAGE_LIMIT = 1e9
-# A worker numbers its ends from 1; a year of thirty a second. Told to forget ends up to
-# a number far past its own, a worker would forget each later one at once.
+# A worker numbers its ends from 1; this is a year at thirty ends a second. If a number
+# far above its own were acknowledged, a worker would drop each later end at once.
 NUMBER_LIMIT = 1_000_000_000
 
 Clock = Annotated[float, msgspec.Meta(ge=0, le=CLOCK_LIMIT_MS)]
 _ENDS = {each.value: each for each in EndKind}
 
 
-class _Look(msgspec.Struct, frozen=True):
-    """`running`: task, run, saved, percent, usage. `ended`: number, task, run, how,
-    saved. Rows may come to have more fields.
+class _Answer(msgspec.Struct, frozen=True):
+    """`running`: task, run, checkpoint, percent, usage. `ended`: number, task, run,
+    kind, checkpoint. Rows may gain more fields.
 
-    Both lists are asked for: taken as empty where it is missing, the first would say
-    that nothing runs.
+    Both lists are required: an absent `running` that counted as empty would mean that
+    nothing runs.
     """  # noqa: D205
 
     clock_ms: Clock
@@ -41,32 +41,32 @@
 
 
 def read_look(body: bytes) -> tuple[WorkerLook, dict[str, Unreadable]]:
-    """Return what a worker told, and why rows of it are refused.
+    """Decode a worker's answer; return it and the faults of its rejected rows.
 
     Raises:
-        Unreadable: When nothing can be said by it.
+        Unreadable: When the answer as a whole can't be read.
     """
-    answer = decode_json(body, _Look)
-    refused: dict[str, Unreadable] = {}
+    answer = decode_json(body, _Answer)
+    rejected: dict[str, Unreadable] = {}
     running = []
     for row in answer.running:
         try:
             running.append(_read_running(row))
-        except Unreadable as refusal:
-            refused[f"running {refusal.fault}"] = refusal
-    ended, forget_limit = _read_ends(answer.ended, refused)
+        except Unreadable as rejection:
+            rejected[f"running {rejection.fault}"] = rejection
+    ended, forget_limit = _read_ends(answer.ended, rejected)
     look = WorkerLook(
         answer.clock_ms / 1000,
         tuple(running),
         tuple(ended),
-        complete=not refused,
+        complete=not rejected,
         forget_limit=forget_limit,
     )
-    return look, refused
+    return look, rejected
 
 
 def _read_running(row: Any) -> RunningTask:
-    """Return a run; of its progress, what can't be read is left open."""
+    """Decode a run; progress fields that can't be read get their defaults."""
     if not isinstance(row, list) or len(row) < 2:
         raise Unreadable(Fault.FORM, "running", row)
     task, run = _check_run(row[0], row[1])
@@ -82,17 +82,17 @@
 
 
 def _read_ends(
-    rows: list[Any], refused: dict[str, Unreadable]
+    rows: list[Any], rejected: dict[str, Unreadable]
 ) -> tuple[list[EndedTask], int | None]:
-    """Return the ends, and the last one before any that can't be read."""
+    """Decode the ends; also return the limit for acknowledging, None for no limit."""
     ended: list[EndedTask] = []
     limits: list[int] = []
     last = 0
     for row in rows:
         try:
             end = _read_end(row, last)
-        except Unreadable as refusal:
-            refused[f"ended {refusal.fault}"] = refusal
+        except Unreadable as rejection:
+            rejected[f"ended {rejection.fault}"] = rejection
             limits.append(min(last, _find_number(row) - 1))
             continue
         ended.append(end)
@@ -101,19 +101,19 @@
 
 
 def _find_number(row: Any) -> int:
-    """Return the number of an end that is refused; one past any where it has none.
+    """Return the number of a rejected end, or one above the limit if it has none.
 
-    One that is lower than the end before it tells that either may be wrong.
+    If the number is lower than that of the end before it, either may be wrong.
     """
     number = row[0] if isinstance(row, list) and row else None
     return number if type(number) is int and number > 0 else NUMBER_LIMIT + 1
 
 
 def _read_end(row: Any, last: int) -> EndedTask:
-    """Return an end; without its checkpoint it still is one.
+    """Decode an end; its checkpoint may be unreadable.
 
-    A kind that is not known may be an end that must not be run again, so it is not
-    taken for any other.
+    An unknown kind may mean that the task must not run again, so it is not mapped to
+    any known kind.
     """
     if not isinstance(row, list) or len(row) < 4:
         raise Unreadable(Fault.FORM, "ended", row)
@@ -131,8 +131,8 @@
 def _check_run(task: Any, run: Any) -> tuple[str, int]:
     if not isinstance(task, str) or not task:
         raise Unreadable(Fault.FORM, "run", (task, run))
-    # One for each start of a task; nobody has given a larger number, and a run that
-    # nobody wants is stopped by it.
+    # Runs are numbered by the starts of a task, so a larger number was never assigned,
+    # and unwanted runs are stopped by their number.
     if type(run) is not int or not 0 < run <= NUMBER_LIMIT:
         raise Unreadable(Fault.RANGE, "run", (task, run))
     return task, run
@@ -140,7 +140,7 @@
 
 def _read_figure(row: list[Any], place: int, limit: float) -> float | None:
     value = row[place] if len(row) > place else None
-    # A truth value is a number to Python, and none to the worker.
+    # In Python, bool is a subclass of int.
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
     return value if 0 <= value <= limit else None
--- a/src/primrosestile/platform/policy.py
+++ b/src/primrosestile/platform/policy.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, as the platform's store holds it."""
+"""Decodes the operators' configuration in the platform's store."""
 
 from typing import Annotated
 
@@ -17,13 +17,13 @@
 from primrosestile.state.policy import Advised, CallLimits, Policy, Pool, Queue
 
 POLICY_KEY = "op/config"
-# A day: no time-out or objective is longer. Past it a deadline can't be told from
-# one that never comes.
-LONGEST_MS = 86_400_000.0
+# A day: no timeout or objective is longer. A longer one can't be told from no deadline
+# at all.
+MAX_DURATION_MS = 86_400_000.0
 
 _Text = Annotated[str, msgspec.Meta(min_length=1)]
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**31)]
-_Milliseconds = Annotated[float, msgspec.Meta(ge=0, le=LONGEST_MS)]
+_Milliseconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_DURATION_MS)]
 
 
 class _Advice(msgspec.Struct, frozen=True):
@@ -33,7 +33,7 @@
 
 
 class _Route(msgspec.Struct, frozen=True):
-    """A queue; `slo_ms` is what a job's objective has besides its stretch."""
+    """A queue; `slo_ms` is the constant part of a job's objective, beside `stretch`."""
 
     name: _Text
     host: _Text
@@ -49,7 +49,7 @@
 
 
 class _Service(msgspec.Struct, frozen=True):
-    """A pool of workers; with `admission_check` they refuse what doesn't fit."""
+    """A worker pool; with `admission_check`, workers refuse tasks that do not fit."""
 
     name: _Text
     admission_check: bool
@@ -76,9 +76,9 @@
 
 
 class _Config(msgspec.Struct, frozen=True):
-    """All of its parts are asked for.
+    """Every section is required.
 
-    Taken as empty where it is missing, a part would take away every queue or key.
+    An absent section that counted as empty would remove every queue or key.
     """
 
     version: Annotated[int, msgspec.Meta(ge=0, le=2**62)]
@@ -89,7 +89,7 @@
 
 
 def read_policy(entry: Entry) -> Policy:
-    """Return the policy of a stored configuration.
+    """Decode a stored configuration.
 
     Raises:
         Unreadable: When it can't be read.
@@ -151,22 +151,22 @@
     key = POLICY_KEY
 
     def __init__(
-        self, store: TransactionalStore, refusals: Refusals | None = None
+        self, store: TransactionalStore, rejections: Refusals | None = None
     ) -> None:
         self._store = store
-        self._refusals = refusals or Refusals()
+        self._rejections = rejections or Refusals()
 
     async def read(self) -> Entry | None:
-        """Return the newest version, never an old one."""
+        """Return the current version; a stale read is not allowed."""
         return await self._store.get(POLICY_KEY)
 
     def decode(self, entry: Entry) -> Policy:
         """Return the policy of a stored version."""
-        refused: dict[str, Unreadable] = {}
+        rejected: dict[str, Unreadable] = {}
         try:
             return read_policy(entry)
-        except Unreadable as refusal:
-            refused[f"revision {entry.mod_revision}"] = refusal
-            raise Failure(ErrorKind.MALFORMED, str(refusal)) from refusal
+        except Unreadable as rejection:
+            rejected[f"revision {entry.mod_revision}"] = rejection
+            raise Failure(ErrorKind.MALFORMED, str(rejection)) from rejection
         finally:
-            self._refusals.settle(Source.POLICY, POLICY_KEY, refused)
+            self._rejections.settle(Source.POLICY, POLICY_KEY, rejected)
--- a/src/primrosestile/platform/refusals.py
+++ b/src/primrosestile/platform/refusals.py
@@ -1,9 +1,9 @@
-"""What of others' values can't be read: why, logged and counted once a change.
+"""Rejection of values that can't be read, logged and counted once a change.
 
-Another program may write under a key that we read, or a worker may answer in a form
-that is not known here. Such a value is refused by itself, with a reason of a closed
-list. It is read again at each poll; a line for each would bury everything else, so a
-refusal is told when it begins or its reason changes.
+Another program may write under a key that we read, or a worker may answer in an unknown
+format. Such a value is rejected on its own, with a reason of a closed list. It is read
+again in each cycle; a log line for each would hide everything else, so a rejection is
+logged only when it begins or its reason changes.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,17 +13,17 @@
 import msgspec
 import structlog
 
-# Refusals that stand, over all scopes. More than this are broken on purpose; the
-# oldest are forgotten, and told again should they still stand.
+# Scopes (lists or workers) with current rejections. More than this are only made on
+# purpose; the oldest are dropped, and logged again if they persist.
 STANDING_LIMIT = 4096
-# Characters of a refused value that a log line shows.
+# Characters of a rejected value that a log line shows.
 DETAIL_LIMIT = 200
 
 _log = structlog.get_logger()
 
 
 class Source(StrEnum):
-    """What was read; with `_unreadable` the name of the log's event."""
+    """What was read; with the suffix `_unreadable`, the name of the log event."""
 
     WORKER_ENTRY = "worker_entry"
     WORKER_ANSWER = "worker_answer"
@@ -35,7 +35,7 @@
 
 
 class Fault(StrEnum):
-    """Why a value is refused."""
+    """Why a value is rejected."""
 
     NOT_JSON = "not json"
     FORM = "form"
@@ -49,14 +49,14 @@
 
 
 class Unreadable(Exception):
-    """A value that is refused.
+    """Raised for a value that is rejected.
 
     Attributes:
-        fault: Of the closed list.
+        fault: Reason, of the closed list.
     """
 
     def __init__(self, fault: Fault, what: str = "", found: Any = None) -> None:
-        """Note why a value is refused, and where; shown as text only when told."""
+        """Store the reason and the value, which is formatted only when it is shown."""
         super().__init__(fault)
         self.fault = fault
         self._what = what
@@ -64,7 +64,7 @@
 
     @property
     def detail(self) -> str:
-        """What was found, for people; cut short."""
+        """Description of the value, for logs; truncated."""
         if self._found is None:
             return self._what[:DETAIL_LIMIT]
         try:
@@ -78,10 +78,10 @@
 
 
 def decode_json(value: bytes | msgspec.Raw, kind: Any) -> Any:
-    """Return a value of JSON as a type.
+    """Decode JSON into a type.
 
     Raises:
-        Unreadable: When it is not JSON, or of another form.
+        Unreadable: When it is not JSON, or does not match the type.
     """
     try:
         return msgspec.json.decode(value, type=kind)
@@ -90,8 +90,8 @@
     except msgspec.MsgspecError as error:
         raise Unreadable(Fault.NOT_JSON, str(error)) from error
     except RecursionError as error:
-        # Lists nested by the thousand, in a field that is not even known: no error
-        # of the decoder's own, so it would end the task that reads.
+        # Lists nested by the thousand, even in an unknown field, raise this and not the
+        # decoder's own error; unhandled, it would end the reading task.
         raise Unreadable(Fault.NOT_JSON, "nested too deeply") from error
 
 
@@ -103,7 +103,7 @@
 
 
 class Refusals:
-    """The refusals that stand in one process."""
+    """Current rejections of one process; logs and counts them when they change."""
 
     def __init__(self, count: Counting = _count_nothing) -> None:
         self._count = count
@@ -112,30 +112,32 @@
     def settle(
         self, source: Source, scope: str, found: Mapping[str, Unreadable]
     ) -> None:
-        """Take in what one reading has refused, in place of the reading before.
+        """Replace the rejections of the previous reading by those of the latest one.
 
         Args:
             source: What was read.
             scope: The list or worker that was read.
-            found: The refusal of each value, by its key or row.
+            found: The rejected values, by their key or row.
         """
         place = (source, scope)
         before = self._standing.pop(place, None)
         if not found:
             return
-        for name, refusal in found.items():
-            if before is None or before.get(name) is not refusal.fault:
-                self._tell(source, scope, name, refusal)
+        for name, rejection in found.items():
+            if before is None or before.get(name) is not rejection.fault:
+                self._report(source, scope, name, rejection)
         self._standing[place] = {name: each.fault for name, each in found.items()}
         while len(self._standing) > STANDING_LIMIT:
             del self._standing[next(iter(self._standing))]
 
-    def _tell(self, source: Source, scope: str, name: str, refusal: Unreadable) -> None:
+    def _report(
+        self, source: Source, scope: str, name: str, rejection: Unreadable
+    ) -> None:
         _log.warning(
             f"{source.value}_unreadable",
             key=name,
             scope=scope,
-            fault=refusal.fault.value,
-            detail=refusal.detail,
+            fault=rejection.fault.value,
+            detail=rejection.detail,
         )
-        self._count(source, refusal.fault)
+        self._count(source, rejection.fault)
--- a/src/primrosestile/platform/settings.py
+++ b/src/primrosestile/platform/settings.py
@@ -1,7 +1,7 @@
-"""The settings file that the platform gives to each process.
+"""Parses the settings file that the platform gives to each process.
 
-Lines of the form `a.b=value`. Lines that are not known here are passed over, since
-new ones may come.
+Its lines have the form `a.b=value`. Unknown lines are ignored, since new ones may be
+added.
 """
 
 import os
@@ -13,59 +13,59 @@
 
 
 class BadSettings(Exception):
-    """The file lacks something that the program can't run without."""
+    """The file lacks a setting that the program needs, or one is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times that the platform promises or demands, in seconds.
+    """Time limits that the platform guarantees or requires.
 
     Attributes:
-        policy_applies: From a policy's acceptance until it must be in force.
-        key_revoked: From then until a key that was taken away must be useless.
-        lease_longest: A worker shortens a longer lease to this.
-        stop_longest: How long a worker takes to stop a run.
-        gang_waits: How long a member waits on its worker for the others.
-        stop_grace: From SIGTERM until the process is killed.
-        leaving_noticed: From a worker's word that it leaves until it must get
-            no new work.
-        status_kept: How long the state of an ended job can be asked for.
-        far_factor: How much longer a task takes away from its data or rack.
-        duty_turn: How long one of us keeps the orders for a machine.
-        reclaim: From the acceptance of a guaranteed job until all of its first
-            step must have begun.
-        start_early: How much before its time an occurrence may begin.
-        cordoned: From an operator's wish that a failure domain get no new work until
-            it gets none; 0 where operators have no such wish.
+        policy_apply_seconds: From a policy's acceptance until it must be in force.
+        key_revoke_seconds: From then until a removed key must be rejected.
+        max_lease_seconds: A worker shortens a longer lease to this.
+        max_stop_seconds: How long a worker takes to stop a run.
+        gang_wait_seconds: How long a member waits on its worker for the others.
+        stop_grace_seconds: From SIGTERM until the process is killed.
+        leaving_notice_seconds: From a worker's announcement that it is leaving until it
+            must get no new work.
+        status_retention_seconds: How long the state of an ended job can be queried.
+        remote_slowdown: Factor by which a task takes longer away from its data or rack.
+        duty_seconds: How long one process holds the right to order a machine.
+        reclaim_seconds: From the acceptance of a guaranteed job until all of its first
+            step must have started.
+        early_start_seconds: How much before its due time an occurrence may start.
+        cordon_seconds: From an operator's order to cordon a failure domain until it
+            must get no new work; 0 where operators do not cordon.
     """
 
     policy_applies: float
     key_revoked: float
     lease_longest: float
-    stop_longest: float
-    gang_waits: float
+    max_stop_seconds: float
+    gang_wait_seconds: float
     stop_grace: float
-    leaving_noticed: float
+    leaving_notice_seconds: float
     status_kept: float
-    far_factor: float
-    duty_turn: float
-    reclaim: float
-    start_early: float
+    remote_slowdown: float
+    duty_seconds: float
+    reclaim_seconds: float
+    early_start_seconds: float
     cordoned: float
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What a process learns from the file.
+    """The settings of one process.
 
     Attributes:
-        callers_address: Where callers' connections arrive.
-        ready_address: Where the balancer asks whether we are ready.
-        inner_ports: First and last port that are free for our own use.
-        advice_address: The service that knows a queue's workers; may be empty.
-        list_address: The platform's list of machines; may be empty.
-        processor: Of the machine, in cores of the usual speed.
-        link: Of the VM, in megabits a second.
+        callers_address: Listening address for callers.
+        ready_address: Listening address for the load balancer's readiness checks.
+        internal_ports: First and last port that are free for our own use.
+        advice_address: Address of the advice service; may be empty.
+        vm_list_address: Address of the platform's list of machines; may be empty.
+        processor: Processor share of the VM, in cores of standard speed.
+        link: Bandwidth of the VM's link, in megabits a second.
     """
 
     name: str
@@ -73,7 +73,7 @@
     failure_domain: str
     callers_address: str
     ready_address: str
-    inner_ports: tuple[int, int]
+    internal_ports: tuple[int, int]
     store_address: str
     advice_address: str
     list_address: str
@@ -84,10 +84,11 @@
 
 
 def read_settings() -> PlatformSettings:
-    """Read the file that the environment names.
+    """Read the file that the environment variable names.
 
     Raises:
-        BadSettings: When it can't be read or lacks a line that is needed.
+        SettingsError: When it can't be read, lacks a required line, or holds a bad
+            number.
     """
     path = os.environ.get(PATH_VARIABLE)
     if not path:
@@ -100,10 +101,10 @@
 
 
 def parse_settings(text: str) -> PlatformSettings:
-    """Return the settings of a file's text.
+    """Parse the text of a settings file.
 
     Raises:
-        BadSettings: When a needed line is missing or is not a number.
+        SettingsError: When a required line is missing or a number can't be parsed.
     """
     values = _split_lines(text)
     try:
@@ -131,12 +132,12 @@
         failure_domain=values.get("zone", ""),
         callers_address=values["listen.front"],
         ready_address=values["listen.ready"],
-        inner_ports=(int(first), int(last)),
+        internal_ports=(int(first), int(last)),
         store_address=values["platform.address"],
         advice_address=values.get("advice", ""),
         list_address=values.get("cloud.address", ""),
         heartbeat=float(values.get("heartbeat_ms", "1500")) / 1000,
-        # The share is of a core that is `cores` times as fast as a usual one.
+        # The share is of a core that is `cores` times as fast as a standard one.
         processor=float(values.get("limits.cpu_share", "1"))
         * float(values.get("limits.cores", "1")),
         link=float(values.get("limits.link_mbps", "1000")),
@@ -155,14 +156,14 @@
         policy_applies=read_ms("config_apply_ms", 2000),
         key_revoked=read_ms("revoke_ms", 5000),
         lease_longest=read_ms("max_hold_ms", 10_000),
-        stop_longest=read_ms("stop_timeout_ms", 400),
-        gang_waits=read_ms("gang_timeout_ms", 3000),
+        max_stop_seconds=read_ms("stop_timeout_ms", 400),
+        gang_wait_seconds=read_ms("gang_timeout_ms", 3000),
         stop_grace=read("grace_s", 6),
-        leaving_noticed=read_ms("drain_ms", 2000),
+        leaving_notice_seconds=read_ms("drain_ms", 2000),
         status_kept=read("status_s", 120),
-        far_factor=read("spread_factor", 3),
-        duty_turn=read_ms("lease_ms", 3000),
-        reclaim=read_ms("reclaim_ms", 2900),
-        start_early=read_ms("early_ms", 250),
+        remote_slowdown=read("spread_factor", 3),
+        duty_seconds=read_ms("lease_ms", 3000),
+        reclaim_seconds=read_ms("reclaim_ms", 2900),
+        early_start_seconds=read_ms("early_ms", 250),
         cordoned=read_ms("evacuate_ms", 0),
     )
--- a/src/primrosestile/platform/store.py
+++ b/src/primrosestile/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP."""
+"""Client of the platform's store over HTTP."""
 
 import base64
 import binascii
@@ -25,23 +25,23 @@
 )
 from primrosestile.transport.connections import Connections, FailureKinds, Reply
 
-# A healthy store answers in 4 ms, a slow one in 300 ms. Past this the connection
-# has more likely lost its other end.
+# A healthy store answers in 4 ms, a slow one in 300 ms. After this time the connection
+# is more likely dead.
 READ_TIMEOUT_SECONDS = 1.0
 WRITE_TIMEOUT_SECONDS = 1.5
-# What a watch may take over the time that it was asked to wait.
+# Added to the requested wait time of a watch.
 WATCH_SLACK_SECONDS = 1.0
 # The largest page: a megabyte of values in base 64, their keys and numbers.
 PAGE_BYTES = 1_500_000
 BYTES_PER_MEGABIT = 125_000
-# A page is one call among many, which may take half of the link meanwhile.
+# Other calls at the same time may take the other half of the link.
 LINK_SHARE = 0.5
-# Past this the page comes faster in parts, whatever the link.
-LONGEST_LIST_SECONDS = 6.0
+# Beyond this, reading in parts is faster, whatever the link.
+MAX_LIST_SECONDS = 6.0
 
-# By these the store says that it did nothing: a call that it can't take, one that it
-# does not allow, too many of them, and none at the moment.
-REFUSED = (400, 403, 429, 503)
+# Statuses by which the store says that a call had no effect: bad request, forbidden,
+# too many requests, unavailable.
+NO_EFFECT_STATUSES = (400, 403, 429, 503)
 
 _READ = FailureKinds(ErrorKind.STORE_UNAVAILABLE, ErrorKind.STORE_UNAVAILABLE)
 _WRITE = FailureKinds(ErrorKind.STORE_UNAVAILABLE, ErrorKind.STORE_ANSWER_LOST)
@@ -51,14 +51,14 @@
 
 
 def find_list_timeout(link: float) -> float:
-    """Return how long a page may take over a link of some megabits a second.
+    """Return the timeout in seconds of reading a page over a link in megabits a second.
 
-    Were each page given a second, a VM with a link of 10 Mbit/s could never read a
-    full one: it would ask for the same page again and again, and as the owner it
-    would hear of no job and no cancellation.
+    With a fixed timeout of one second, a VM with a link of 10 Mbit/s could never read a
+    full page: it would request the same page over and over, and as the owner it would
+    receive no jobs and no cancellations.
     """
     carried = PAGE_BYTES / (link * BYTES_PER_MEGABIT * LINK_SHARE)
-    return min(LONGEST_LIST_SECONDS, READ_TIMEOUT_SECONDS + carried)
+    return min(MAX_LIST_SECONDS, READ_TIMEOUT_SECONDS + carried)
 
 
 class _Item(msgspec.Struct, frozen=True):
@@ -73,7 +73,7 @@
 
 
 class _Items(msgspec.Struct, frozen=True):
-    """Each item is read by itself: one of another form leaves the others good."""
+    """Items are decoded one by one, so that a malformed one does not affect others."""
 
     store_revision: _Revision
     items: list[msgspec.Raw]
@@ -86,19 +86,19 @@
 
 
 class _Done(msgspec.Struct, frozen=True):
-    """The answer to a change that was made."""
+    """The answer to a change that was applied."""
 
     revision: Annotated[int, msgspec.Meta(gt=0, le=2**62)]
 
 
 class _NotDone(msgspec.Struct, frozen=True):
-    """The answer to one whose condition failed: what stands there instead."""
+    """The answer to a change whose condition failed: the current items."""
 
     items: list[_Item]
 
 
 class _Lease(msgspec.Struct, frozen=True):
-    """A lease of 0 would be none: what is written under it would stay for good."""
+    """Lease 0 means no lease: what is written under it would never expire."""
 
     lease: Annotated[int, msgspec.Meta(gt=0, le=2**62)]
 
@@ -111,15 +111,15 @@
         address: str,
         connections: Connections,
         link: float,
-        refusals: Refusals | None = None,
+        rejections: Refusals | None = None,
     ) -> None:
         self._address = address
         self._connections = connections
         self._list_seconds = find_list_timeout(link)
-        self._refusals = refusals or Refusals()
+        self._rejections = rejections or Refusals()
 
     async def get(self, key: str, recent: bool = True) -> Entry | None:
-        """Return the value of a key, or None; the present one unless told."""
+        """Return the value of a key, or None; the current one if `recent`."""
         path = f"/v1/kv-key?key={quote(key, safe='')}"
         if not recent:
             path += "&serializable=1"
@@ -128,7 +128,7 @@
             return None
         item = _decode(reply, _Item)
         if item.key != key:
-            raise Failure(ErrorKind.STORE_ANSWER_LOST, "another key was answered")
+            raise Failure(ErrorKind.STORE_ANSWER_LOST, "the answer is for another key")
         return self._make_entries([item], key, {})[0]
 
     async def list(self, prefix: str, after: str = "") -> Page:
@@ -138,10 +138,10 @@
             path += f"&after={quote(after, safe='')}"
         reply = await self._read(path, self._list_seconds, (200,))
         answer = _decode(reply, _Items)
-        refused: dict[str, Unreadable] = {}
-        items = _read_items(answer.items, prefix, refused)
+        rejected: dict[str, Unreadable] = {}
+        items = _read_items(answer.items, prefix, rejected)
         return Page(
-            self._make_entries(items, prefix, refused),
+            self._make_entries(items, prefix, rejected),
             answer.store_revision,
             answer.has_more,
             left_out=len(answer.items) - len(items),
@@ -153,7 +153,7 @@
         writes: Sequence[Write] = (),
         removals: Sequence[str] = (),
     ) -> Committed:
-        """Make a change if all of its conditions hold."""
+        """Apply a change if all of its conditions hold."""
         body = {
             "precondition": [
                 {"key": each.key, "revision": each.revision} for each in conditions
@@ -163,11 +163,11 @@
         }
         reply = await self._write("POST", "/v1/kv-txn", body, (200, 412, 404))
         if reply.status == 404:
-            raise Failure(ErrorKind.NOT_FOUND, "the lease of a write has ended")
+            raise Failure(ErrorKind.NOT_FOUND, "the lease of a write has expired")
         if reply.status == 200:
             return Committed(done=True, revision=_decode(reply, _Done).revision)
-        # An item that can't be read would be taken for a key that does not exist, and
-        # the owner's key for one that another process has; so all must be readable.
+        # All items must be readable: a rejected one would count as a key that does not
+        # exist, and the owner's own key as held by another process.
         items = _decode(reply, _NotDone).items
         standing = [item for item in items if item.revision and not item.deleted]
         return Committed(False, found=self._make_entries(standing, "", {}))
@@ -179,13 +179,13 @@
         return _decode(reply, _Lease).lease
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renew a lease; return False when it has ended."""
+        """Renew a lease; return False when it has expired."""
         path = f"/v1/kv-keep/{lease}"
         reply = await self._write("POST", path, {}, (200, 404))
         return reply.status == 200
 
     async def watch_once(self, prefix: str, after: int, seconds: float) -> Heard:
-        """Return changes after a revision, as soon as there is one."""
+        """Return the changes after a revision, waiting until there is one."""
         path = (
             f"/v1/kv-watch?prefix={quote(prefix, safe='')}"
             f"&after={after}&wait_ms={int(seconds * 1000)}"
@@ -195,11 +195,11 @@
         if reply.status == 410:
             return Heard((), after, complete=False)
         answer = _decode(reply, _Events)
-        refused: dict[str, Unreadable] = {}
-        events = _read_items(answer.events, prefix, refused)
-        entries = self._make_entries(events, prefix, refused)
+        rejected: dict[str, Unreadable] = {}
+        events = _read_items(answer.events, prefix, rejected)
+        entries = self._make_entries(events, prefix, rejected)
         if len(events) < len(answer.events):
-            # What the others told is read from the list instead.
+            # The caller lists again, which also covers the readable events.
             return Heard((), after, complete=False)
         changes = tuple(
             Change(event.key, event.revision, None if event.deleted else entry)
@@ -208,25 +208,25 @@
         return Heard(changes, answer.store_revision)
 
     def _make_entries(
-        self, items: Iterable[_Item], scope: str, refused: dict[str, Unreadable]
+        self, items: Iterable[_Item], scope: str, rejected: dict[str, Unreadable]
     ) -> tuple[Entry, ...]:
         """Return the entries of items.
 
-        A value that can't be read is taken as empty, which no record of ours and no
-        value of others is: whoever reads it refuses it under its key and revision.
-        Left out, it would be taken for one that does not exist.
+        A value that can't be read is replaced by an empty one, which is no valid record
+        of ours and no valid value of others: its reader rejects it, with its key and
+        revision. If it were left out, the key would count as absent.
         """
         entries = []
         for item in items:
             try:
                 value = _read_value(item.value)
-            except Unreadable as refusal:
-                refused[item.key] = refusal
+            except Unreadable as rejection:
+                rejected[item.key] = rejection
                 value = b""
             entries.append(
                 Entry(item.key, value, item.created, item.revision, item.lease)
             )
-        self._refusals.settle(Source.STORE_ITEM, scope, refused)
+        self._rejections.settle(Source.STORE_ITEM, scope, rejected)
         return tuple(entries)
 
     async def _read(
@@ -255,38 +255,38 @@
 def _check(
     reply: Reply, path: str, accepted: tuple[int, ...], kinds: FailureKinds
 ) -> Reply:
-    """Return the reply, or raise whether anything may have been done.
+    """Return an accepted reply; otherwise raise the failure for its status.
 
-    Only the store's own refusals say that nothing was. Any other answer may come from
-    something between, or from a fault after the change was made: taken for a no, a
-    caller would be told that a job was not accepted, and it would run all the same.
+    Only the store's own refusals prove that a call had no effect. Any other status may
+    come from a proxy, or from a fault after the change was made: if it counted as a
+    refusal, a caller would be told that a job was not accepted although it runs.
     """
     if reply.status in accepted:
         return reply
     detail = f"{path.partition('?')[0]} answered {reply.status}"
-    refused = reply.status in REFUSED
+    refused = reply.status in NO_EFFECT_STATUSES
     raise Failure(kinds.unsent if refused else kinds.lost, detail)
 
 
 def _decode(reply: Reply, kind: type) -> Any:
     try:
         return decode_json(reply.body, kind)
-    except Unreadable as refusal:
+    except Unreadable as rejection:
         raise Failure(
-            ErrorKind.STORE_ANSWER_LOST, f"unreadable answer: {refusal}"
-        ) from refusal
+            ErrorKind.STORE_ANSWER_LOST, f"unreadable answer: {rejection}"
+        ) from rejection
 
 
 def _read_items(
-    raws: Iterable[msgspec.Raw], prefix: str, refused: dict[str, Unreadable]
+    raws: Iterable[msgspec.Raw], prefix: str, rejected: dict[str, Unreadable]
 ) -> list[_Item]:
-    """Return the items under a prefix that can be told from one another."""
+    """Return the items under a prefix whose key and revision are readable."""
     items = []
     for raw in raws:
         try:
             items.append(_read_item(raw, prefix))
-        except Unreadable as refusal:
-            refused[f"item {refusal.fault}"] = refusal
+        except Unreadable as rejection:
+            rejected[f"item {rejection.fault}"] = rejection
     return items
 
 
--- a/src/primrosestile/platform/upkeep.py
+++ b/src/primrosestile/platform/upkeep.py
@@ -1,4 +1,4 @@
-"""The platform's list of machines and its waves of upkeep."""
+"""Client of the platform's list of machines and of its maintenance waves."""
 
 from typing import Annotated
 from urllib.parse import quote
@@ -27,10 +27,10 @@
 
 WAVES_PREFIX = "op/wave/"
 STATUS_PREFIX = "status/wave/"
-# The list may be slow for a while; an order that is given up is sent again.
+# The list may be slow at times; an order that times out is sent again.
 TIMEOUT_SECONDS = 1.0
-# One page holds the whole fleet of a few hundred; a list that never ends is a fault.
-PAGES_LIMIT = 200
+# One page holds a fleet of a few hundred VMs; a list that never ends is a fault.
+MAX_PAGES = 200
 
 _KINDS = FailureKinds(ErrorKind.LIST_UNAVAILABLE, ErrorKind.LIST_UNAVAILABLE)
 _REASONS = {
@@ -39,14 +39,14 @@
     "wave": UpkeepAnswer.NOT_THERE,
 }
 _STATES = {each.value: each for each in VmState}
-# A wave of a whole fleet takes minutes.
-LONGEST_SECONDS = 86_400.0
+# A day. A wave of a whole fleet takes minutes.
+MAX_DEADLINE_SECONDS = 86_400.0
 
 _Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
 
 class _Machine(msgspec.Struct, frozen=True):
-    """`machine` names the VM, `id` the life of the worker on it."""
+    """`machine` names the VM, `id` the incarnation of the worker on it."""
 
     machine: _Text
     pool: str
@@ -55,24 +55,24 @@
 
 
 class _Named(msgspec.Struct, frozen=True):
-    """What of a VM must be readable at the least."""
+    """The part of a VM's row that must be readable."""
 
     machine: _Text
 
 
 class _Machines(msgspec.Struct, frozen=True):
-    """Each VM is read by itself."""
+    """VMs are decoded one by one."""
 
     machines: list[msgspec.Raw]
     next_token: str | None = None
 
 
 class _Wave(msgspec.Struct, frozen=True):
-    """`cap` bounds how many are away at one time."""
+    """`cap`: the most VMs that may be unavailable at one time."""
 
     wave: Annotated[int, msgspec.Meta(ge=0, le=2**62)]
     machines: list[_Text]
-    deadline_s: Annotated[float, msgspec.Meta(gt=0, le=LONGEST_SECONDS)]
+    deadline_s: Annotated[float, msgspec.Meta(gt=0, le=MAX_DEADLINE_SECONDS)]
     cap: Annotated[int, msgspec.Meta(ge=1)]
 
 
@@ -89,47 +89,47 @@
         process: str,
         store: TransactionalStore,
         connections: Connections,
-        refusals: Refusals | None = None,
+        rejections: Refusals | None = None,
     ) -> None:
         self._address = address
         self._process = process
         self._store = store
         self._connections = connections
-        self._refusals = refusals or Refusals()
+        self._rejections = rejections or Refusals()
 
     async def list_vms(self) -> tuple[WorkerVm, ...]:
         """Return the VMs of all workers."""
         vms: list[WorkerVm] = []
-        refused: dict[str, Unreadable] = {}
+        rejected: dict[str, Unreadable] = {}
         token = ""
-        for _ in range(PAGES_LIMIT):
+        for _ in range(MAX_PAGES):
             query = f"?page_token={quote(token, safe='')}" if token else ""
             reply = await self._call("GET", f"/v1/machines{query}", b"", {})
             if reply.status != 200:
                 raise Failure(ErrorKind.LIST_UNAVAILABLE, f"answered {reply.status}")
             page = self._read_page(reply)
-            vms += [self._read_vm(each, refused) for each in page.machines]
+            vms += [self._read_vm(each, rejected) for each in page.machines]
             token = page.next_token or ""
             if not token:
-                self._refusals.settle(Source.VM, "", refused)
+                self._rejections.settle(Source.VM, "", rejected)
                 return tuple(vms)
         raise Failure(ErrorKind.LIST_UNAVAILABLE, "the list does not end")
 
     async def list_waves(self) -> tuple[Wave, ...]:
-        """Return the waves that operators have asked for."""
+        """Return the waves that operators have ordered."""
         entries, _ = await list_entries(self._store, WAVES_PREFIX, whole=False)
         waves = []
-        refused: dict[str, Unreadable] = {}
+        rejected: dict[str, Unreadable] = {}
         for entry in entries:
             try:
                 waves.append(_read_wave(entry))
-            except Unreadable as refusal:
-                refused[entry.key] = refusal
-        self._refusals.settle(Source.WAVE, "", refused)
+            except Unreadable as rejection:
+                rejected[entry.key] = rejection
+        self._rejections.settle(Source.WAVE, "", rejected)
         return tuple(waves)
 
     async def begin(self, vm: str, wave: int, fence: int) -> UpkeepAnswer:
-        """Begin one VM's upkeep; everything on it ends at once."""
+        """Begin one VM's maintenance; everything that runs on it ends at once."""
         headers = {
             "Content-Type": "application/json",
             "Duty-Holder": self._process,
@@ -144,12 +144,12 @@
         if reply.status == 409:
             return self._read_reason(reply)
         if reply.status == 429:
-            return UpkeepAnswer.NOT_TAKEN
-        # Such an order may have been carried out.
+            return UpkeepAnswer.THROTTLED
+        # The order may have taken effect.
         raise Failure(ErrorKind.LIST_UNAVAILABLE, f"answered {reply.status}")
 
     async def report(self, wave: int, completed: bool, fence: int) -> bool:
-        """Tell operators how a wave stands; False when we are not the owner."""
+        """Publish a wave's status to operators; False when we are not the owner."""
         state = "completed" if completed else "running"
         value = msgspec.json.encode({"state": state})
         done = await self._store.commit(
@@ -158,47 +158,48 @@
         return done.done
 
     def _read_reason(self, reply: Reply) -> UpkeepAnswer:
-        """Return why an upkeep was refused.
+        """Return why an order was refused; raise if the reason can't be read.
 
-        Taken for "not now" by default, an upkeep that has begun would be struck from
-        the wave's record, and more VMs than allowed would be away at one time.
+        If an unknown reason counted as "busy", maintenance that has begun would be
+        removed from the wave's record, and more VMs than allowed would be unavailable.
         """
         try:
             reason = decode_json(reply.body, _Refused).reason
             if reason not in _REASONS:
                 raise Unreadable(Fault.STATE, "reason", reason)
-        except Unreadable as refusal:
-            raise self._refuse("refusal", refusal) from refusal
+        except Unreadable as rejection:
+            raise self._reject("refusal", rejection) from rejection
         return _REASONS[reason]
 
     def _read_page(self, reply: Reply) -> _Machines:
         try:
             page: _Machines = decode_json(reply.body, _Machines)
-        except Unreadable as refusal:
-            raise self._refuse("page", refusal) from refusal
+        except Unreadable as rejection:
+            raise self._reject("page", rejection) from rejection
         return page
 
-    def _read_vm(self, raw: msgspec.Raw, refused: dict[str, Unreadable]) -> WorkerVm:
-        """Return a VM; one of which only the name can be read is taken as down.
+    def _read_vm(self, raw: msgspec.Raw, rejected: dict[str, Unreadable]) -> WorkerVm:
+        """Decode a VM; one of which only the name can be read is listed as down.
 
-        A VM that is not listed counts as gone, with its upkeep behind it: a wave
-        would be told as completed while that VM waits, and more than allowed would be
-        away. So nothing is left out, and a row without a name fails the whole list.
+        A VM that is not listed counts as removed, with its maintenance over: a wave
+        would be reported as completed while that VM still waits, and more than allowed
+        would be unavailable. So no row is left out, and one without a name fails the
+        whole list.
         """
         try:
             return _make_vm(decode_json(raw, _Machine))
-        except Unreadable as refusal:
-            found = refusal
+        except Unreadable as rejection:
+            found = rejection
         try:
             name = decode_json(raw, _Named).machine
-        except Unreadable as refusal:
-            raise self._refuse("row", refusal) from refusal
-        refused[name] = found
+        except Unreadable as rejection:
+            raise self._reject("row", rejection) from rejection
+        rejected[name] = found
         return WorkerVm(name, "", VmState.DOWN, "")
 
-    def _refuse(self, name: str, refusal: Unreadable) -> Failure:
-        self._refusals.settle(Source.VM, "", {name: refusal})
-        detail = f"unreadable answer: {refusal}"
+    def _reject(self, name: str, rejection: Unreadable) -> Failure:
+        self._rejections.settle(Source.VM, "", {name: rejection})
+        detail = f"unreadable answer: {rejection}"
         return Failure(ErrorKind.LIST_UNAVAILABLE, detail)
 
     async def _call(
--- a/src/primrosestile/platform/workers.py
+++ b/src/primrosestile/platform/workers.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's workers over HTTP, and the list of them in the store."""
+"""Client of the platform's workers over HTTP, and their list in the store."""
 
 from collections.abc import Callable, Collection
 from typing import Any
@@ -19,23 +19,23 @@
     OrderAnswer,
     Refusal,
     StartOrder,
+    WorkerListing,
     WorkerLook,
-    WorkersFound,
 )
 from primrosestile.protocol.transactions import TransactionalStore, list_entries
 from primrosestile.state.workers import WorkerEntry
 from primrosestile.transport.connections import Connections, FailureKinds, Reply
 
-# An order takes a few milliseconds; a worker that carries one out late answers
-# none at all, and the same order can be sent again without harm.
+# An order takes a few milliseconds; a worker that carries one out late does not answer
+# it, and orders are safe to repeat.
 ORDER_TIMEOUT_SECONDS = 0.45
-# One key for each failure domain that operators have emptied, until it is removed.
+# Operators cordon a failure domain by a key under this prefix, until they remove it.
 CORDONS_PREFIX = "op/evacuate/"
-# What a look may take over the time that it was asked to wait.
+# Added to the requested wait time of a poll.
 LOOK_SLACK_SECONDS = 0.6
 
 _KINDS = FailureKinds(ErrorKind.NO_TARGET, ErrorKind.WORKER_UNREACHABLE)
-# The words of a refused start; the rest are told by the status.
+# Reasons in the body of a refused order; other refusals have a status of their own.
 _REASONS = {
     "fence": Refusal.FENCE,
     "old": Refusal.OLD,
@@ -57,21 +57,21 @@
     """Implements `protocol.fleet.WorkerCalls`."""
 
     def __init__(
-        self, connections: Connections, refusals: Refusals | None = None
+        self, connections: Connections, rejections: Refusals | None = None
     ) -> None:
         self._connections = connections
-        self._refusals = refusals or Refusals()
+        self._rejections = rejections or Refusals()
 
     async def look(
         self,
         entry: WorkerEntry,
         fence: int,
-        seen: int,
+        acknowledged: int,
         until: float | None,
         wait: float,
     ) -> WorkerLook | Refusal:
-        """Extend the lease, forget ends up to `seen`, wait for another end."""
-        body: dict[str, Any] = {"fence": fence, "last_seen": seen}
+        """Extend the lease, acknowledge ends up to a number, wait for a new end."""
+        body: dict[str, Any] = {"fence": fence, "last_seen": acknowledged}
         if until is not None:
             body["until_ms"] = int(until * 1000)
         if wait > 0:
@@ -81,16 +81,16 @@
         if reply.status != 200:
             return self._read_refusal(entry, reply)
         try:
-            look, refused = read_look(reply.body)
-        except Unreadable as refusal:
-            raise self._refuse(entry, refusal) from refusal
-        self._refusals.settle(Source.WORKER_ANSWER, entry.worker, refused)
+            look, rejected = read_look(reply.body)
+        except Unreadable as rejection:
+            raise self._reject(entry, rejection) from rejection
+        self._rejections.settle(Source.WORKER_ANSWER, entry.worker, rejected)
         return look
 
     async def start(
         self, entry: WorkerEntry, fence: int, order: StartOrder
     ) -> OrderAnswer:
-        """Start one run; also right when it is there already."""
+        """Start one run; succeeds too if this run is already present."""
         body = {
             "task": order.task,
             "run": order.run,
@@ -107,14 +107,14 @@
     async def stop(
         self, entry: WorkerEntry, fence: int, task: str, run: int
     ) -> OrderAnswer:
-        """Stop a run, and refuse it should its start come later."""
+        """Stop a run; the worker refuses a start of it that arrives later."""
         body = {"task": task, "run": run, "fence": fence}
         return await self._order(entry, "/v1/run-stop", body)
 
     async def pace(
         self, entry: WorkerEntry, fence: int, task: str, run: int, percent: int
     ) -> OrderAnswer:
-        """Let a run work at a share of its speed."""
+        """Limit a run to a percentage of its speed."""
         body = {"task": task, "run": run, "percent": percent, "fence": fence}
         return await self._order(entry, "/v1/pace", body)
 
@@ -126,8 +126,8 @@
             return OrderAnswer(refusal=self._read_refusal(entry, reply))
         try:
             return OrderAnswer(decode_json(reply.body, _Done).clock_ms / 1000)
-        except Unreadable as refusal:
-            raise self._refuse(entry, refusal) from refusal
+        except Unreadable as rejection:
+            raise self._reject(entry, rejection) from rejection
 
     async def _call(
         self, entry: WorkerEntry, path: str, body: dict[str, Any], timeout: float
@@ -141,11 +141,11 @@
         )
 
     def _read_refusal(self, entry: WorkerEntry, reply: Reply) -> Refusal:
-        """Return why nothing was done.
+        """Return why an order was refused; raise if that can't be determined.
 
-        What can't be read may come from something between, or from a fault of the
-        worker's own: the order may have been carried out. Taken for a refusal, the
-        run would be started elsewhere beside it.
+        An unreadable answer may come from a proxy, or from a fault of the worker: the
+        order may have taken effect. If it counted as a refusal, the run would be
+        started a second time elsewhere.
         """
         if reply.status == 421:
             return Refusal.OTHER_LIFE
@@ -157,14 +157,14 @@
             raise Failure(ErrorKind.WORKER_UNREACHABLE, f"answered {reply.status}")
         try:
             return _read_reason(reply.body)
-        except Unreadable as refusal:
-            raise self._refuse(entry, refusal) from refusal
+        except Unreadable as rejection:
+            raise self._reject(entry, rejection) from rejection
 
-    def _refuse(self, entry: WorkerEntry, refusal: Unreadable) -> Failure:
-        """Return what an answer that can't be read is to its caller."""
-        found = {"answer": refusal}
-        self._refusals.settle(Source.WORKER_ANSWER, entry.worker, found)
-        return Failure(ErrorKind.WORKER_UNREACHABLE, f"unreadable answer: {refusal}")
+    def _reject(self, entry: WorkerEntry, rejection: Unreadable) -> Failure:
+        """Record an unreadable answer; return the failure to raise for it."""
+        found = {"answer": rejection}
+        self._rejections.settle(Source.WORKER_ANSWER, entry.worker, found)
+        return Failure(ErrorKind.WORKER_UNREACHABLE, f"unreadable answer: {rejection}")
 
 
 def _read_reason(body: bytes) -> Refusal:
@@ -182,41 +182,41 @@
         self,
         store: TransactionalStore,
         find_pools: Callable[[], Collection[str] | None] | None = None,
-        refusals: Refusals | None = None,
+        rejections: Refusals | None = None,
         cordons: bool = False,
     ) -> None:
         """Read workers' entries from a store.
 
         Args:
-            store: Holds them.
-            find_pools: Returns the pools that the policy names, as far as known; an
-                entry of another one names no worker.
-            refusals: Told what can't be read.
-            cordons: Whether operators of this platform empty failure domains; asked
-                for where they don't, a call in each reading would be paid for nothing.
+            store: The store that holds the entries.
+            find_pools: Returns the pools that the policy names, None while unknown; an
+                entry of another pool is rejected.
+            rejections: Records what can't be read.
+            cordons: Whether operators of this platform cordon failure domains; if not,
+                the extra store call in each listing is saved.
         """
         self._store = store
         self._cordons = cordons
         self._find_pools = find_pools
-        self._refusals = refusals or Refusals()
+        self._rejections = rejections or Refusals()
 
-    async def list_workers(self) -> WorkersFound:
-        """Return the workers' entries, never old ones."""
+    async def list_workers(self) -> WorkerListing:
+        """Return the workers' current entries; a stale read is not allowed."""
         entries, _ = await list_entries(self._store, WORKERS_PREFIX, whole=False)
         pools = self._find_pools() if self._find_pools is not None else None
         found: list[WorkerEntry] = []
-        refused: dict[str, Unreadable] = {}
+        rejected: dict[str, Unreadable] = {}
         for entry in entries:
             try:
                 found.append(read_worker(entry, pools))
-            except Unreadable as refusal:
-                refused[entry.key] = refusal
-        self._refusals.settle(Source.WORKER_ENTRY, "", refused)
-        names = frozenset(key.removeprefix(WORKERS_PREFIX) for key in refused)
-        return WorkersFound(tuple(found), names, await self._list_cordoned())
+            except Unreadable as rejection:
+                rejected[entry.key] = rejection
+        self._rejections.settle(Source.WORKER_ENTRY, "", rejected)
+        names = frozenset(key.removeprefix(WORKERS_PREFIX) for key in rejected)
+        return WorkerListing(tuple(found), names, await self._list_cordoned())
 
     async def _list_cordoned(self) -> frozenset[str]:
-        """Return the failure domains that are to get no new work."""
+        """Return the failure domains that are closed to new work."""
         if not self._cordons:
             return frozenset()
         entries, _ = await list_entries(self._store, CORDONS_PREFIX, whole=False)
--- a/src/primrosestile/protocol/__init__.py
+++ b/src/primrosestile/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""What is said between processes and to the platform: messages and interfaces.
+"""Messages between processes, and interfaces to peers, workers and the platform.
 
-Nothing here opens a connection; the transport layer implements the interfaces.
+Nothing here opens a connection; `transport` and `platform` implement the interfaces.
 """
--- a/src/primrosestile/protocol/advice.py
+++ b/src/primrosestile/protocol/advice.py
@@ -1,4 +1,4 @@
-"""The service that knows which workers a queue's steps may run on."""
+"""Interface of the advice service: which workers a queue's steps may run on."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,7 +9,7 @@
     """One worker on which a step may run.
 
     Attributes:
-        ticket: Shown to the worker with each start of the step.
+        ticket: Sent to the worker with each start of the step.
     """
 
     worker: str
@@ -21,8 +21,8 @@
     """An answer of the service.
 
     Attributes:
-        complete: All of it could be read; else a worker that is not in it may be
-            allowed all the same.
+        complete: Whether every row could be read; if not, a worker that is missing
+            from the answer may still be allowed.
     """
 
     allowed: tuple[Allowed, ...]
@@ -30,18 +30,18 @@
 
 
 class AdviceCalls(Protocol):
-    """Questions to the service; it answers one at a time for each process."""
+    """Queries to the service; it answers one at a time for each process."""
 
     async def ask(self, step: str, workers: tuple[str, ...], seconds: float) -> Advice:
         """Return those of some workers on which a step may run.
 
         Args:
             step: The name that the step's tasks begin with.
-            workers: Those asked about.
-            seconds: What the answer is expected to take.
+            workers: The candidates.
+            seconds: How long the answer is expected to take.
 
         Raises:
-            Failure: ADVICE_UNAVAILABLE when there is no answer; asking again is
-                harmless.
+            Failure: ADVICE_UNAVAILABLE when there is no answer; the query is safe to
+                repeat.
         """
         ...
--- a/src/primrosestile/protocol/fleet.py
+++ b/src/primrosestile/protocol/fleet.py
@@ -1,7 +1,7 @@
-"""Workers that run tasks under one lease a worker, as coordination sees them.
+"""Interface to workers that run all of their tasks under a single lease.
 
-A worker keeps the highest fence that it was shown and does nothing for a lower
-one; everything on it stops when the lease that we extend runs out on its clock.
+A worker remembers the highest fence that it has received and refuses a lower one.
+All of its runs stop when the lease, which the owner extends, expires on its clock.
 """
 
 from dataclasses import dataclass
@@ -16,9 +16,9 @@
     """One run on a worker.
 
     Attributes:
-        percent: Of its work; of a lasting task, 100 when it serves.
-        usage: A lasting task's slow answers in milliseconds; else thousandths of
-            a core in use. None when that can't be read.
+        percent: Progress; 100 for a daemon task that is serving.
+        usage: For a daemon task, the latency of its slow answers in milliseconds; for
+            others, thousandths of a core in use. None when it can't be read.
     """
 
     task: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedTask:
-    """One end; the worker numbers them and repeats them until told not to."""
+    """The end of one run, numbered by the worker and repeated until acknowledged."""
 
     number: int
     task: str
@@ -41,14 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLook:
-    """What a worker answers when its lease is extended.
+    """A worker's answer to a poll, which also extends its lease.
 
     Attributes:
-        clock: Its steady clock, in seconds, not after the answer was sent.
-        complete: Everything in it could be read; else what it does not show may be
-            there all the same.
-        forget_limit: Number of the last end before any that could not be read; None
-            when all could. The worker must not be told to forget later ones.
+        clock: The worker's monotonic clock in seconds, read no later than the answer
+            was sent.
+        complete: Whether every row could be read; if not, a run or end that is missing
+            from the answer may still exist.
+        acknowledge_limit: Number of the last end before the first unreadable one; None
+            when all could be read. Later ends must not be acknowledged.
     """
 
     clock: float
@@ -59,7 +60,11 @@
 
 
 class Refusal(StrEnum):
-    """Why a worker did nothing."""
+    """Why a worker refused an order.
+
+    `STALE_RUN`: the run was stopped or superseded, or another run of the task is
+    present. `EXPIRED`: the lease of the start had run out when it arrived.
+    """
 
     FENCE = "fence"
     OLD = "old"
@@ -73,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """A worker's definite answer to an order; refused when there is a reason."""
+    """A worker's definite answer to an order; `refusal` is None when it complied."""
 
     clock: float = 0.0
     refusal: Refusal | None = None
@@ -81,10 +86,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """One member of a run to be started.
+    """A start of one member of a run.
 
     Attributes:
-        until: On the worker's clock; its lease lasts at least until then.
+        until: Time on the worker's clock, in seconds, to which the start extends the
+            worker's lease.
     """
 
     task: str
@@ -99,48 +105,47 @@
     """Orders to workers.
 
     Raises, from each call:
-        Failure: WORKER_UNREACHABLE when no answer came (it may be carried out
-            seconds later), NO_TARGET when nothing was sent.
+        Failure: WORKER_UNREACHABLE when no answer came (the order may still take
+            effect seconds later), NO_TARGET when nothing was sent.
     """
 
     async def look(
         self,
         entry: WorkerEntry,
         fence: int,
-        seen: int,
+        acknowledged: int,
         until: float | None,
         wait: float,
     ) -> WorkerLook | Refusal:
-        """Extend the lease, forget ends up to `seen`, wait for another end."""
+        """Extend the lease, acknowledge ends up to a number, wait for a new end."""
         ...
 
     async def start(
         self, entry: WorkerEntry, fence: int, order: StartOrder
     ) -> OrderAnswer:
-        """Start one run; also right when it is there already."""
+        """Start one run; succeeds too if this run is already present."""
         ...
 
     async def stop(
         self, entry: WorkerEntry, fence: int, task: str, run: int
     ) -> OrderAnswer:
-        """Stop a run, and refuse it should its start come later."""
+        """Stop a run; the worker refuses a start of it that arrives later."""
         ...
 
     async def pace(
         self, entry: WorkerEntry, fence: int, task: str, run: int, percent: int
     ) -> OrderAnswer:
-        """Let a run work at a share of its speed."""
+        """Limit a run to a percentage of its speed."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class WorkersFound:
-    """What stands on the list of workers.
+class WorkerListing:
+    """The workers' entries that were read from the store.
 
     Attributes:
-        refused: Names under which something stands that can't be read; they name no
-            worker to use.
-        cordoned: Failure domains whose workers operators have get no new work.
+        refused: Names whose entries can't be read; no work is placed on them.
+        cordoned: Failure domains that operators have closed to new work.
     """
 
     entries: tuple[WorkerEntry, ...]
@@ -149,10 +154,10 @@
 
 
 class WorkerList(Protocol):
-    """Which workers say that they are there."""
+    """The list of workers that have registered themselves."""
 
-    async def list_workers(self) -> WorkersFound:
-        """Return the workers' entries, never old ones.
+    async def list_workers(self) -> WorkerListing:
+        """Return the workers' current entries; a stale read is not allowed.
 
         Raises:
             Failure: STORE_UNAVAILABLE when they can't be read.
--- a/src/primrosestile/protocol/messages.py
+++ b/src/primrosestile/protocol/messages.py
@@ -1,9 +1,9 @@
-"""Messages between our own processes, and their one envelope.
+"""Messages between our own processes, and the envelope that carries them.
 
-A tagged `msgspec.Struct` stands where the house style asks for a frozen data
-class: the codec tells the kinds of message apart by the tag, which it does not
-offer for data classes. Each envelope carries sender, epoch, sequence and request
-id, so that a late or crossed answer is recognised and dropped.
+Messages are tagged `msgspec.Struct`s and not frozen data classes, because the codec
+tells the kinds of message apart by the tag and offers none for data classes. Each
+envelope carries sender, epoch, sequence and request id, so that a late or crossed
+answer is recognised and dropped.
 """
 
 import msgspec
@@ -12,16 +12,16 @@
 
 
 class CellDigest(msgspec.Struct, frozen=True, tag=True):
-    """What a cell's owner tells entries each second.
+    """State of a cell that its owner sends to entries each second.
 
     Attributes:
         free: Free accelerators on each usable worker.
         slots: The slots that the receiving entry may use, by worker.
         leaving: Workers that take no new work.
-        quarantined: Workers that get canaries only.
-        waiting: Jobs that wait for a place in this cell.
+        quarantined: Workers that get canary requests only.
+        waiting: Jobs that wait for placement in this cell.
         used: Accelerators that each team holds in this cell.
-        seconds: How long the slots are granted for.
+        seconds: How long the grant of slots is valid.
     """
 
     cell: str
@@ -46,10 +46,10 @@
 
 
 class DemandReport(msgspec.Struct, frozen=True, tag=True):
-    """An entry's need of slots, sent to each placer each second.
+    """An entry's demand for slots, sent to each placer each second.
 
-    One message for each pair of processes, not for each cell: at 128 cells the
-    latter would cost an entry more processor than control may use.
+    One message for each pair of processes and not for each cell: at 128 cells, the
+    latter would cost an entry more processor time than control may use.
 
     Attributes:
         queued: Requests waiting here that any target could serve.
@@ -72,7 +72,7 @@
 
 
 class SettingsValues(msgspec.Struct, frozen=True, tag=True):
-    """Stored values by path, as they stand in the store."""
+    """Stored values by path, byte for byte as in the store."""
 
     values: dict[str, bytes]
 
@@ -107,7 +107,7 @@
 
     Attributes:
         sender: Name of the sending process.
-        epoch: The sender's epoch for the cell it speaks of, or 0.
+        epoch: The sender's epoch for the cell that the message is about, or 0.
         sequence: Rises by one with each message of this sender to this peer.
         request_id: Repeated in the answer; empty when none is expected.
     """
@@ -132,6 +132,6 @@
     """Return the message in `data`.
 
     Raises:
-        msgspec.ValidationError: When it is no envelope.
+        msgspec.ValidationError: When it is not an envelope.
     """
     return _decoder.decode(data)
--- a/src/primrosestile/protocol/peers.py
+++ b/src/primrosestile/protocol/peers.py
@@ -1,4 +1,4 @@
-"""Talking to our own processes, as coordination sees it."""
+"""Interface for requests between our own processes."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -12,10 +12,10 @@
     """Requests and answers between processes, addressed by `ip:port`."""
 
     async def ask(self, peer: str, body: Body, timeout: float, epoch: int = 0) -> Body:
-        """Send and return the peer's answer.
+        """Send a message and return the peer's answer.
 
         Raises:
-            Failure: NO_TARGET when no answer came in time; the kind that the
-                peer gave when it refused.
+            Failure: NO_TARGET when no answer came in time; the peer's own kind when
+                it refused.
         """
         ...
--- a/src/primrosestile/protocol/policies.py
+++ b/src/primrosestile/protocol/policies.py
@@ -1,4 +1,4 @@
-"""Where the operators' policy stands, as coordination sees it."""
+"""Interface to the operators' stored policy."""
 
 from typing import Protocol
 
@@ -7,17 +7,16 @@
 
 
 class PolicySource(Protocol):
-    """The stored policy and its format.
+    """Reads and decodes the stored policy.
 
     Attributes:
-        key: Where it stands; changes may be made on the condition that it has not
-            changed.
+        key: Its key in the store; a write may be made conditional on its revision.
     """
 
     key: str
 
     async def read(self) -> Entry | None:
-        """Return the newest version, never an old one."""
+        """Return the current version; a stale read is not allowed."""
         ...
 
     def decode(self, entry: Entry) -> Policy:
--- a/src/primrosestile/protocol/store.py
+++ b/src/primrosestile/protocol/store.py
@@ -1,12 +1,11 @@
-"""The platform's store, as coordination sees it.
+"""Interface to a store with single-key compare-and-swap, leases and watches.
 
-The brief promises compare-and-swap on one key, leases and watches, and nothing
-that spans two keys. The interface offers no more than that, so no code can come
-to depend on more.
+The platform guarantees no operation that spans two keys. The interface offers none
+either, so that no code can depend on one.
 
 Two failures must be told apart. `STORE_UNAVAILABLE` means that the call had no
-effect. `STORE_ANSWER_LOST` means that a write may have taken effect; whoever gets
-it re-reads and looks for its own token before it decides anything.
+effect. `STORE_ANSWER_LOST` means that a write may have taken effect; the caller must
+read the key again and look for its own token before it decides anything.
 """
 
 from collections.abc import AsyncIterator
@@ -19,7 +18,7 @@
     """One stored value.
 
     Attributes:
-        create_revision: Store revision at which the key came into being.
+        create_revision: Store revision at which the key was created.
         mod_revision: Store revision of the latest change; compare-and-swap
             expects this number.
     """
@@ -36,8 +35,8 @@
     """Some entries under a prefix, in key order.
 
     Attributes:
-        more: Whether entries after the last one were left out.
-        left_out: Items that could not be told from one another, and are not shown.
+        more: Whether further entries follow the last one.
+        left_out: How many items were dropped because their key can't be read.
     """
 
     entries: tuple[Entry, ...]
@@ -53,7 +52,7 @@
     Attributes:
         done: Whether the write was made.
         revision: Store revision after it.
-        current: What stood there instead, when it was not made.
+        current: The entry found instead, when the write was not made.
     """
 
     done: bool
@@ -90,11 +89,11 @@
         ...
 
     async def grant_lease(self, seconds: int) -> int:
-        """Return the id of a new lease that lapses after `seconds`."""
+        """Return the id of a new lease that expires after `seconds`."""
         ...
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renew; return False when the lease has lapsed already."""
+        """Renew a lease; return False when it has already expired."""
         ...
 
     async def revoke_lease(self, lease: int) -> None:
@@ -102,10 +101,10 @@
         ...
 
     def watch(self, prefix: str, revision: int) -> AsyncIterator[tuple[Change, ...]]:
-        """Yield changes under a prefix from a revision on, until it breaks.
+        """Yield changes under a prefix from a revision on, until the watch breaks.
 
         Raises:
             Failure: STORE_UNAVAILABLE when the watch breaks or goes silent; the
-                caller lists again and watches from the listed revision.
+                caller must list again and watch from the listed revision.
         """
         ...
--- a/src/primrosestile/protocol/transactions.py
+++ b/src/primrosestile/protocol/transactions.py
@@ -1,10 +1,9 @@
-"""The platform's store with changes that span keys, as coordination sees it.
+"""Interface to a store with transactions that span keys.
 
-Every change states the revisions that it relies on, so a change that the store
-carries out seconds late, after we have given up on it, meets another revision and
-does nothing. Two failures are told apart as elsewhere: `STORE_UNAVAILABLE` says
-that the call had no effect, `STORE_ANSWER_LOST` that it may have had one, or may
-still have one.
+Every change states the revisions that it relies on, so a change that the store applies
+seconds late, after the caller's timeout, fails its conditions and has no effect. Two
+failures are told apart: `STORE_UNAVAILABLE` means that the call had no effect,
+`STORE_ANSWER_LOST` that it may have had one or may still have one.
 """
 
 from collections.abc import Sequence
@@ -14,13 +13,13 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Change, Entry, Page
 
-# Conditions, writes and removals of one change together.
+# The most conditions, writes and removals of one change, counted together.
 CHANGE_LIMIT = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """A key must stand at a revision; 0 means that it must not exist."""
+    """A key must have this revision; 0 means that it must not exist."""
 
     key: str
     revision: int
@@ -28,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """A value to be written; a lease of 0 keeps it for good."""
+    """A value to be written; with lease 0 it does not expire."""
 
     key: str
     value: bytes
@@ -40,10 +39,10 @@
     """The outcome of a change.
 
     Attributes:
-        done: Whether all of it was made; else none of it was.
-        revision: The store's revision of it.
-        found: What stood under the keys of the conditions, when not done; a key
-            that does not exist is left out.
+        done: Whether the whole change was applied; if not, no part of it was.
+        revision: Store revision of the change.
+        found: When not done, the entries under the keys of the conditions; keys that
+            do not exist are left out.
     """
 
     done: bool
@@ -53,11 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """What a watch returned.
+    """The changes that one watch call returned.
 
     Attributes:
-        revision: Where the next watch goes on.
-        complete: False when the history was dropped: read everything again.
+        revision: Where the next watch continues.
+        complete: False when changes are missing, such as after compaction; the caller
+            must list again.
     """
 
     changes: tuple[Change, ...]
@@ -78,8 +78,8 @@
 
         Args:
             key: The whole key.
-            recent: Whether it must be the present value. One that may be seconds old
-                costs a tenth, and shows truly what never changes once it is there.
+            recent: Whether the value must be current. A read that may be seconds stale
+                costs a tenth, and is safe for keys that never change once written.
         """
         ...
 
@@ -93,19 +93,19 @@
         writes: Sequence[Write] = (),
         removals: Sequence[str] = (),
     ) -> Committed:
-        """Make a change if all of its conditions hold."""
+        """Apply a change if all of its conditions hold."""
         ...
 
     async def grant_lease(self, seconds: float) -> int:
-        """Return a new lease; its time runs from the arrival of the call."""
+        """Return a new lease; its time runs from when the store receives the call."""
         ...
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renew a lease; return False when it has ended."""
+        """Renew a lease; return False when it has expired."""
         ...
 
     async def watch_once(self, prefix: str, after: int, seconds: float) -> Heard:
-        """Return changes after a revision, as soon as there is one."""
+        """Return the changes after a revision, waiting until there is one."""
         ...
 
 
@@ -114,25 +114,25 @@
 ) -> tuple[list[Entry], int]:
     """Return all entries under a prefix and a revision to watch from.
 
-    Pages are not a snapshot, so the watch must begin at the first page's revision:
-    what changed while later pages were read is then heard of again.
+    Pages are not a snapshot, so the watch must begin at the first page's revision;
+    it then delivers again what changed while later pages were read.
 
     Args:
-        store: To be read.
-        prefix: Of the keys.
-        whole: Fail when the key of an item can't be read. A record of ours that is
-            left out would be taken for one that never was, and its job's tasks would
-            run a second time. Where others write, the rest is good without it.
+        store: The store to read.
+        prefix: Prefix of the keys.
+        whole: Whether to fail when the key of an item can't be read. One of our own
+            records that is dropped would count as absent, and its job's tasks would
+            run a second time. Under keys that others write, the item can be dropped.
 
     Raises:
-        Failure: STORE_UNAVAILABLE as above, and from any call.
+        Failure: STORE_UNAVAILABLE as above, and the failures of any call.
     """
     page = await store.list(prefix)
     entries = list(page.entries)
     revision = page.revision
     left_out = page.left_out
     last = ""
-    # Pages whose keys don't rise would be asked for without end.
+    # A store whose pages do not advance would be read in an endless loop.
     while page.more and page.entries and page.entries[-1].key > last:
         last = page.entries[-1].key
         page = await store.list(prefix, last)
--- a/src/primrosestile/protocol/upkeep.py
+++ b/src/primrosestile/protocol/upkeep.py
@@ -1,4 +1,4 @@
-"""Workers' VMs and waves of upkeep, as coordination sees them."""
+"""Interface to workers' VMs and to waves of their maintenance."""
 
 from enum import Enum
 from typing import Protocol
@@ -7,27 +7,27 @@
 
 
 class UpkeepAnswer(Enum):
-    """The platform's answer to an order for one VM's upkeep.
+    """The platform's answer to an order to begin one VM's maintenance.
 
-    `BEGUN` also when it is over already. `FENCE`: another owner has ordered since.
-    `BUSY`: the VM can't be ordered now. `NOT_THERE`: no such VM, or not one of the
-    wave. `NOT_TAKEN`: too many calls just now. Each but `BEGUN` says that this order
-    has done nothing; none says so of an earlier one.
+    `BEGUN`: it has begun, or is already over. `FENCE`: a newer owner has sent an order.
+    `BUSY`: the VM can't be ordered now. `NOT_IN_WAVE`: no such VM, or not one of the
+    wave. `THROTTLED`: too many calls just now. All but `BEGUN` mean that this order
+    had no effect; none says anything about an earlier order.
     """
 
     BEGUN = 1
     FENCE = 2
     BUSY = 3
     NOT_THERE = 4
-    NOT_TAKEN = 5
+    THROTTLED = 5
 
 
 class UpkeepCalls(Protocol):
-    """The list of VMs, the waves, and the orders.
+    """The list of VMs, the waves, and maintenance orders.
 
     Raises, from each call:
-        Failure: STORE_UNAVAILABLE or LIST_UNAVAILABLE without an answer; an order
-            may then have been carried out.
+        Failure: STORE_UNAVAILABLE or LIST_UNAVAILABLE when no answer came; an order
+            may then have taken effect.
     """
 
     async def list_vms(self) -> tuple[WorkerVm, ...]:
@@ -35,13 +35,13 @@
         ...
 
     async def list_waves(self) -> tuple[Wave, ...]:
-        """Return the waves that operators have asked for."""
+        """Return the waves that operators have ordered."""
         ...
 
     async def begin(self, vm: str, wave: int, fence: int) -> UpkeepAnswer:
-        """Begin one VM's upkeep; everything on it ends at once."""
+        """Begin one VM's maintenance; everything that runs on it ends at once."""
         ...
 
     async def report(self, wave: int, completed: bool, fence: int) -> bool:
-        """Tell operators how a wave stands; False when we are not the owner."""
+        """Publish a wave's status to operators; False when we are not the owner."""
         ...
--- a/src/primrosestile/protocol/workers.py
+++ b/src/primrosestile/protocol/workers.py
@@ -1,11 +1,10 @@
-"""Workers, as coordination sees them: leases on accelerators, tasks, requests.
-
-Assumed of a worker, beyond the brief: it remembers the highest epoch it has seen
-for its cell and refuses a lower one; it stops a task whose lease lapses; it
-answers a repeated command with the same outcome as the first. Where the first
-assumption fails, two owners could both start tasks on a worker; the start record
-in the store still lets only one of them go, since its write expects the revision
-that the owner has read.
+"""Interface to workers: leases on accelerators, tasks, and short requests.
+
+A worker is assumed to remember the highest epoch it has received for its cell and
+refuse a lower one, to stop a task whose lease expires, and to answer a repeated command
+with the outcome of the first. Without the first assumption, two owners could both
+prepare tasks on a worker; the start record in the store still lets only one of them
+send "go", since its write expects the revision that the owner has read.
 """
 
 from collections.abc import Sequence
@@ -17,7 +16,7 @@
 
 
 class TaskPhase(Enum):
-    """Where one member of a gang stands on its worker."""
+    """State of one gang member on its worker."""
 
     HELD = "held"
     RUNNING = "running"
@@ -34,9 +33,9 @@
         task_id: `<job id>.<attempt>`; unique on one worker.
         checkpoint: Seconds of work saved.
         usage: Share of the accelerators in use, with a lag.
-        lease_seconds: What is left of its lease.
-        gang_size: On how many workers the gang has a task; lets a process that
-            can't read the store see whether the gang is whole.
+        lease_seconds: Remaining time of its lease.
+        gang_size: Number of workers on which the gang has a task; lets a process that
+            can't read the store see whether the gang is complete.
     """
 
     task_id: str
@@ -57,8 +56,8 @@
     """Everything one worker holds and runs.
 
     Attributes:
-        epoch: The highest epoch it has seen.
-        leaving: Whether it says itself that it is leaving.
+        epoch: The highest epoch it has received.
+        leaving: Whether it reports that it is leaving.
     """
 
     worker: str
@@ -74,7 +73,7 @@
 
     Attributes:
         lease_seconds: The worker stops the task unless it is renewed in time.
-        seconds: Declared length; a stand-in uses it, an engine ignores it.
+        seconds: Declared run time; the stand-in uses it, an engine ignores it.
         checkpoint: Seconds of work already done by an earlier attempt.
     """
 
@@ -92,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOrder:
-    """One short request on its way to a target."""
+    """One short request to be sent to a target."""
 
     request_id: str
     organisation: str
@@ -104,12 +103,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAnswer:
-    """A target's whole answer, checked to belong to the request.
+    """A target's complete answer, checked to belong to the request.
 
     Attributes:
-        ran: Whether the target says that the request was run.
+        ran: Whether the target reports that the request was run.
         ok: Whether it succeeded; meaningless when it was not run.
-        leaving: Whether the target says that it is leaving.
+        leaving: Whether the target reports that it is leaving.
     """
 
     request_id: str
@@ -123,14 +122,14 @@
     """Control of tasks on workers. Every call carries the caller's epoch.
 
     Raises, from each call:
-        Failure: STALE_EPOCH when the worker has seen a higher epoch,
+        Failure: STALE_EPOCH when the worker has received a higher epoch,
             TARGET_REFUSED when it refuses otherwise (nothing was changed),
-            WORKER_UNREACHABLE when the answer did not come: the command may
-            have taken effect.
+            WORKER_UNREACHABLE when no answer came: the command may have taken
+            effect.
     """
 
     async def report(self, worker: str, cell: str, epoch: int) -> WorkerReport:
-        """Return all that it holds; also tells it the epoch. Epoch 0 only reads."""
+        """Return what it holds; raises its epoch to the call's. Epoch 0 only reads."""
         ...
 
     async def reserve(
@@ -146,7 +145,7 @@
         ...
 
     async def go(self, worker: str, cell: str, epoch: int, task_id: str) -> None:
-        """Let a held task run."""
+        """Start a held task."""
         ...
 
     async def renew(
@@ -169,7 +168,7 @@
     async def throttle(
         self, worker: str, cell: str, epoch: int, task_id: str, share: float
     ) -> None:
-        """Run a task at a share of its speed, from 0 to 1."""
+        """Limit a task to a share of its speed, from 0 to 1."""
         ...
 
     async def stop(self, worker: str, cell: str, epoch: int, task_id: str) -> None:
@@ -183,11 +182,11 @@
     async def send(
         self, target: str, order: RequestOrder, timeout: float
     ) -> RequestAnswer:
-        """Send one request and return its whole answer.
+        """Send one request and return its complete answer.
 
         Raises:
             Failure: NO_TARGET when nothing reached the target (not run),
-                OUTCOME_UNKNOWN when the answer did not come, was cut short, or
+                OUTCOME_UNKNOWN when no answer came, or one that was cut short or
                 belongs to another request.
         """
         ...
@@ -202,7 +201,7 @@
 
 
 class VmList(Protocol):
-    """The platform's lagging list of VMs, ours and the workers'."""
+    """The platform's list of VMs, ours and the workers'; it lags."""
 
     async def read(self) -> tuple[ListedVm, ...]:
         """Return the VMs that the list shows as live or leaving."""
--- a/src/primrosestile/state/__init__.py
+++ b/src/primrosestile/state/__init__.py
@@ -1,4 +1,4 @@
-"""Records: what is kept in the platform's store and what workers report.
+"""Records kept in the platform's store, and records that workers report.
 
-The lowest layer. Frozen data, no input or output, no decisions.
+The lowest layer: frozen data, without I/O or decisions.
 """
--- a/src/primrosestile/state/fleet.py
+++ b/src/primrosestile/state/fleet.py
@@ -1,9 +1,9 @@
 """The fleet: workers in racks, racks in failure domains, cells of whole racks.
 
-A cell is the unit of ownership: one placer process at a time decides about its
-workers. Cells are made of whole racks of one failure domain, so that a gang that
-needs adjacent accelerators never spans two owners, and so that the loss of a
-rack or a domain is the loss of a whole number of cells or racks.
+A cell is the unit of ownership: one placer process at a time schedules its workers.
+Cells consist of whole racks of one failure domain, so that a gang that needs adjacent
+accelerators never spans two owners, and so that the loss of a rack or a domain is the
+loss of a whole number of cells or racks.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureDomain:
-    """A part of a region that fails as one."""
+    """A part of a region whose machines fail together."""
 
     name: str
     region: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rack:
-    """Workers next to one another, within one failure domain."""
+    """Adjacent workers within one failure domain."""
 
     name: str
     failure_domain: str
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """One back end machine.
+    """One backend machine.
 
     Attributes:
         name: Unique in the fleet.
         rack: Name of its rack.
         address: `ip:port` of its control and request endpoint.
-        accelerators: How many it has; they are numbered from 0.
-        slots: Short requests it serves at once.
+        accelerators: Number of accelerators; they are numbered from 0.
+        slots: Short requests that it serves concurrently.
         connections: Open connections it accepts.
         cores: Processor cores.
         memory_gb: Memory in gigabytes.
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """All workers, and how they are arranged."""
+    """All workers, with their racks, cells and failure domains."""
 
     failure_domains: tuple[FailureDomain, ...] = ()
     racks: tuple[Rack, ...] = ()
--- a/src/primrosestile/state/jobs.py
+++ b/src/primrosestile/state/jobs.py
@@ -1,4 +1,4 @@
-"""Gang jobs and claims, as the store keeps them."""
+"""Stored records of gang jobs, claims, cell owners and processes."""
 
 from dataclasses import dataclass, replace
 from enum import Enum
@@ -11,11 +11,11 @@
 
 
 class JobState(Enum):
-    """Where a gang job stands.
+    """State of a gang job.
 
-    ACCEPTED jobs wait for a place. STARTED is written before any member is told
-    to go: from then on the job may run. MOVING is the intention to hand a waiting
-    job to another cell; MOVED says that it stands there. The others are final.
+    ACCEPTED jobs wait for placement. STARTED is written before "go" is sent to any
+    member: from then on the job may run. MOVING records the intention to hand a waiting
+    job to another cell; MOVED, that it is stored there. The others are final.
     """
 
     ACCEPTED = "accepted"
@@ -34,7 +34,7 @@
 
 
 class ReasonCode(Enum):
-    """Why a decision was taken; the closed list that explanations use."""
+    """Why a decision was made; the closed list of codes used by explanations."""
 
     ACCEPTED = "accepted"
     PLACED = "placed"
@@ -72,7 +72,7 @@
     Attributes:
         code: From the closed list.
         time: Seconds since 1970.
-        detail: The figures or names behind it, as a sentence part.
+        detail: The figures or names behind it, as part of a sentence.
     """
 
     code: ReasonCode
@@ -90,12 +90,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """What a caller asked for; it never changes after acceptance.
+    """A job as its caller requested it; never changes after acceptance.
 
     Attributes:
         restartable: Whether it may be stopped and run again.
         checkpoints: Whether its progress can be saved.
-        declared_seconds: The caller's guess of its run time.
+        declared_seconds: The caller's estimate of its run time.
         payload: Opaque text for the engine.
     """
 
@@ -118,11 +118,11 @@
     Attributes:
         attempt: Rises with each start; part of every task's id.
         epoch: The owner's epoch at the latest write.
-        members: Where the latest attempt was started.
-        cancel_requested: Set by any entry; the owner acts on it.
-        checkpoint: Progress saved, as seconds of work already done.
+        members: Workers and accelerators of the latest attempt.
+        cancel_requested: Set by any entry process; the cell's owner acts on it.
+        checkpoint: Saved progress, as seconds of work already done.
         losses: Starts that lost a member soon afterwards.
-        moved_to: The id under which the job goes on in another cell.
+        moved_to: The id under which the job continues in another cell.
         history: The latest reasons, oldest first.
     """
 
@@ -148,9 +148,9 @@
 
 
 class ClaimState(Enum):
-    """Where a non-idempotent request stands.
+    """State of a non-idempotent request.
 
-    CLAIMED before the first dispatch, DISPATCHED before anything is sent.
+    CLAIMED is written before the first dispatch, DISPATCHED before anything is sent.
     """
 
     CLAIMED = "claimed"
@@ -165,12 +165,12 @@
     """The stored claim on one (organisation, request id).
 
     Attributes:
-        token: Random, one for each sending by a caller; tells one's own write
+        token: Random for each transmission by a caller; tells a process's own write
             from another's when the store's answer was lost.
-        step: Rises with each write under one token, so that no two are alike.
+        step: Rises with each write under one token, so that no two writes are equal.
         entry: Name of the process that holds it.
         target: The worker to which it was dispatched.
-        answer: The whole answer, when it is small enough to keep.
+        answer: The complete answer, when it is small enough to store.
         status: HTTP status of the answer.
     """
 
@@ -187,11 +187,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CellOwner:
-    """Who owns a cell, kept under that process's lease at `cells/<cell>`.
+    """Owner of a cell, stored under that process's lease at `cells/<cell>`.
 
-    The epoch is the store's revision at which this key was created. The store
-    only ever counts up, so every later owner has a higher epoch and no second
-    value has to be kept.
+    The epoch is the store revision at which this key was created. Store revisions
+    only increase, so every later owner has a higher epoch and no separate counter is
+    needed.
     """
 
     process: str
@@ -200,11 +200,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessRecord:
-    """One running process, kept under its lease at `processes/<name>`.
+    """One running process, stored under its lease at `processes/<name>`.
 
     Attributes:
         incarnation: Random at each start; tells a restarted process from the
-            one of the same name that held claims before.
+            earlier one of the same name, which may have held claims.
     """
 
     name: str
--- a/src/primrosestile/state/policy.py
+++ b/src/primrosestile/state/policy.py
@@ -1,4 +1,4 @@
-"""What operators have set: queues, organisations and their keys, worker pools."""
+"""The operators' policy: queues, organisations and their keys, worker pools."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,12 +6,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Advised:
-    """A queue whose rules on workers only an advice service knows.
+    """Rules of a queue whose permitted workers only the advice service knows.
 
     Attributes:
-        decide_seconds: What one question costs the service, besides the workers.
-        per_worker_seconds: What each worker named in it costs.
-        valid_seconds: How long a ticket may be used.
+        decide_seconds: Fixed time that the service takes for one query.
+        per_worker_seconds: Additional time for each worker named in the query.
+        valid_seconds: Lifetime of a ticket.
     """
 
     decide_seconds: float
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Queue:
-    """Where callers hand jobs in, and what they are promised.
+    """A queue to which callers submit jobs, with its service objective.
 
     Attributes:
-        host: Name that a caller must use; with the prefix it selects the queue.
-        priority: 0 comes first and may preempt others.
+        host: Host name of requests; with the path prefix it selects the queue.
+        priority: 0 is the highest and may preempt others.
         attempts: Failed runs of one task after which its job has failed.
-        stretch: Times the longest chain of work that a job may take in all.
-        objective_seconds: Added to that.
-        public: Callers need no key.
+        stretch: A job's time objective, as a multiple of its longest chain of work.
+        objective_seconds: Constant part of the objective, added to the multiple.
+        public: Whether callers need no key.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guarantee:
-    """An organisation's accelerators for its urgent work."""
+    """Accelerators guaranteed to an organisation for its urgent work."""
 
     organisation: str
     accelerators: int
@@ -58,12 +58,13 @@
     """Workers that run one engine.
 
     Attributes:
-        guards_capacity: Its workers refuse what does not fit; else we must.
-        spare: Its VMs are off and cost nothing.
+        enforces_capacity: Whether its workers refuse tasks that do not fit; if not, the
+            scheduler must check.
+        spare: Whether its VMs are switched off and cost nothing.
     """
 
     name: str
-    guards_capacity: bool
+    enforces_capacity: bool
     spare: bool = False
 
 
@@ -79,11 +80,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """One version of everything that operators have set.
+    """One version of the operators' policy.
 
     Attributes:
-        revision: The store's, at which it was written; rises with each version.
-        keys: The organisation of each key.
+        revision: Store revision at which it was written; rises with each version.
+        keys: The organisation of each API key.
     """
 
     version: int
--- a/src/primrosestile/state/process.py
+++ b/src/primrosestile/state/process.py
@@ -1,7 +1,7 @@
-"""Settings of one process: its name, place and addresses.
+"""Settings of one process: its name, location and addresses.
 
-A process learns nothing about itself from the machine. All of it stands in one
-small JSON file, so that a VM can be replaced by starting the same file elsewhere.
+A process reads nothing about itself from the machine. All of it is in one small JSON
+file, so that a VM can be replaced by starting a process with that file elsewhere.
 """
 
 from dataclasses import dataclass, field
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerKeys:
-    """CURVE keys for the connections between our own processes (Z85 text).
+    """CURVE keys for connections between our own processes (Z85 text).
 
     Attributes:
         public: Shared by all processes of one deployment.
-        secret: Likewise; never printed or logged.
+        secret: Shared likewise; never printed or logged.
     """
 
     public: str
@@ -27,21 +27,21 @@
     Attributes:
         name: Unique among running processes, such as `vm-1-entry`.
         vm: Name of the VM as the platform's VM list gives it.
-        failure_domain: Where the VM stands.
+        failure_domain: Failure domain of the VM.
         store: Addresses of the platform's store, `ip:port`.
         vm_list: Address of the platform's VM list, `ip:port`.
         http: Address to listen on for HTTP, `ip:port`.
         peer: Address to listen on for our own processes, `ip:port`.
         peer_keys: CURVE keys; None leaves these connections unencrypted.
-        log_level: As structlog names it.
+        log_level: Name of a structlog level.
         drain_seconds: How long readiness is off before listening ends, since
-            the balancer lags.
+            the load balancer lags.
         process_lease_seconds: Time to live of this process's lease.
-        task_lease_seconds: Time to live of leases on workers; the bound within
-            which a gang that lost a member has stopped everywhere.
+        task_lease_seconds: Time to live of leases on workers; a gang that lost a
+            member has stopped everywhere within this time.
         seeds: Addresses of a few processes on other VMs, `ip:port` as in `peer`;
-            asked for the settings when the store is down at the start. Without
-            two of them such a process waits for the store.
+            asked for the settings when the store is down at the start; two of them
+            must answer, or the only one. Without seeds the process waits for the store.
     """
 
     name: str
--- a/src/primrosestile/state/settings.py
+++ b/src/primrosestile/state/settings.py
@@ -1,4 +1,4 @@
-"""All settings as one picture, assembled from the stored values.
+"""All settings, assembled from the stored values.
 
 Stored under `settings/`: `fleet`, `guarantees`, `policy`, the workers of each
 failure domain under `workers/<failure domain>`, and one value for each team under
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that operators set."""
+    """All settings that operators control."""
 
     fleet: Fleet = field(default_factory=Fleet)
     guarantees: Guarantees = field(default_factory=Guarantees)
@@ -43,7 +43,7 @@
         revision: The path's own revision after the change, rising by one.
         before: The value before, as JSON text; empty for a new path.
         after: The value after, as JSON text; empty for a removed path.
-        comment: Why, in the operator's words.
+        comment: The operator's reason.
     """
 
     actor: str
@@ -58,13 +58,13 @@
 class StoredSetting:
     """The value kept in the store for one path.
 
-    The change and its audit entry are one value, so one compare-and-swap makes
+    The change and its audit entry share one value, so one compare-and-swap writes
     both or neither.
 
     Attributes:
         revision: Rises by one with each accepted change.
         value: The section or team as JSON text.
-        audit: The latest entries, newest last; older ones roll to own keys.
+        audit: The latest entries, newest last; older ones move to their own keys.
     """
 
     revision: int
--- a/src/primrosestile/state/tenancy.py
+++ b/src/primrosestile/state/tenancy.py
@@ -1,11 +1,11 @@
-"""Organisations, teams, guarantees and job classes, as settings keep them."""
+"""Settings of organisations, teams, guarantees and job classes."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Urgency(Enum):
-    """Whether a person waits for the work now, or can wait for hours."""
+    """Whether a person is waiting for the result, or it may take hours."""
 
     URGENT = "urgent"
     PATIENT = "patient"
@@ -30,8 +30,8 @@
 class Shape:
     """A number of accelerators and how close they must be.
 
-    WORKER: all on one worker. RACK: on workers of one rack, each of which is
-    used whole but for at most one remainder. CELL: anywhere in one cell.
+    WORKER: all on one worker. RACK: on workers of one rack, all of which are used
+    entirely except for at most one. CELL: anywhere in one cell.
     """
 
     accelerators: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guarantee:
-    """A shape that an organisation can have back at any time, `count` times."""
+    """A shape that an organisation can reclaim at any time, `count` times."""
 
     organisation: str
     shape: Shape
@@ -51,8 +51,8 @@
 class Guarantees:
     """All organisations and guarantees, in one stored value.
 
-    Two changes that are each valid can be impossible together; one value under
-    compare-and-swap makes the second writer see the first.
+    Two changes that are each valid can be infeasible together; with one value under
+    compare-and-swap, the second writer must read the first change.
     """
 
     organisations: tuple[str, ...] = ()
@@ -61,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """One sort of work of a team.
+    """One kind of work of a team.
 
     Attributes:
         name: Unique within the team.
         kind: Short request or gang.
-        urgency: Who waits for it.
-        idempotent: Whether running it twice does no harm. For a gang: whether
-            it may be stopped and run again.
+        urgency: Whether a person waits for it.
+        idempotent: Whether running it twice is harmless. For a gang: whether it may
+            be stopped and run again.
         checkpoints: Whether a gang can save its progress before it is stopped.
-        expected_seconds: The declared run time, a first guess that is replaced
-            by experience.
+        expected_seconds: The declared run time, an initial estimate that measured run
+            times replace.
         deadline_seconds: How long a caller waits for a short request.
         shape: The default shape of a gang of this class.
     """
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """One team's subtree: its quota, classes and keys."""
+    """Settings of one team: its quota, classes and keys."""
 
     name: str
     organisation: str
@@ -112,15 +112,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """How decisions weigh the two measures, and the bounds that they keep.
+    """Weights of the placement score, and limits that scheduling decisions keep.
 
     Attributes:
         completion_weight: Weight of completion time, from 0 to 1.
         fragmentation_weight: Weight of fragmentation, from 0 to 1.
-        patient_share: Share of slots kept for patient work, from 0 to 1.
-        queue_limit: Most requests that one entry holds in its queues.
+        patient_share: Share of slots reserved for patient work, from 0 to 1.
+        queue_limit: Most requests that one entry process holds in its queues.
         retry_ratio: Retries allowed as a share of first attempts.
-        quarantine_share: Largest share of a cell's workers in quarantine.
+        quarantine_share: Largest share of a cell's workers that may be in quarantine.
         operator_keys: Keys of operators.
     """
 
--- a/src/primrosestile/state/upkeep.py
+++ b/src/primrosestile/state/upkeep.py
@@ -1,4 +1,4 @@
-"""The VMs under workers, and the upkeep that operators ask for."""
+"""The VMs of workers, and the maintenance waves that operators order."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class VmState(StrEnum):
-    """What the platform says of a worker's VM."""
+    """State of a worker's VM as the platform reports it."""
 
     UP = "up"
     MOVING = "moving"
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerVm:
-    """The VM that one life of a worker runs on; it outlasts that life.
+    """A VM that runs one incarnation of a worker at a time.
 
     Attributes:
-        worker: The life on it now; empty while it is away.
+        worker: The incarnation that runs on it now; empty while there is none.
     """
 
     name: str
@@ -31,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """VMs that are to have their upkeep.
+    """A set of VMs that are due for maintenance.
 
     Attributes:
-        deadline_seconds: For all of them, from when the wave was asked for.
-        most: VMs that may be away for it at one time.
+        deadline_seconds: Time for all of them, from when the wave was ordered.
+        most: Number of VMs that may be unavailable for it at one time.
     """
 
     number: int
@@ -45,14 +45,14 @@
 
 
 class WaveRecord(msgspec.Struct, frozen=True, array_like=True):
-    """How far a wave got; written by the owner before each order.
+    """Progress of a wave; written by the owner before each order.
 
     Attributes:
-        first_seen: Seconds since 1970, for people.
-        begun: VMs whose upkeep was ordered.
-        over: Those that have it behind them, or are not there any more.
-        waited: For how many seconds owners had known the wave when this was written,
-            by their steady clocks.
+        first_seen: Seconds since 1970; for display only.
+        begun: VMs whose maintenance was ordered.
+        over: Those whose maintenance is over, or that no longer exist.
+        waited: Seconds for which owners had known the wave when this was written, by
+            their monotonic clocks.
     """
 
     first_seen: float
--- a/src/primrosestile/state/work.py
+++ b/src/primrosestile/state/work.py
@@ -1,12 +1,12 @@
-"""Jobs of steps and tasks, as callers hand them in and as the store keeps them.
+"""Jobs of steps and tasks: the submitted form and the stored records.
 
-What a caller asked for and how far it got are two records. The first is written
-once, by whichever process accepted the job; the second only by the owner of the
-fleet. So an acceptance never waits for the owner, and the owner never overwrites
-what a caller was promised.
+A job's submission and its progress are two records. The submission is written once, by
+the process that accepted the job; progress is written only by the owner of the fleet.
+So acceptance never waits for the owner, and the owner never overwrites what a caller
+was promised.
 
-The records are `msgspec.Struct`s kept as arrays: a job of ninety tasks is written
-again whenever one of its tasks starts or ends.
+The records are `msgspec.Struct`s encoded as arrays, to keep them short: the record of a
+job of ninety tasks is rewritten whenever one of its tasks starts or ends.
 """
 
 from enum import IntEnum, StrEnum
@@ -16,7 +16,7 @@
 
 
 class JobState(StrEnum):
-    """How far a job is, in the words that callers read."""
+    """State of a job; the values are those that callers read."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -26,17 +26,17 @@
 
     @property
     def final(self) -> bool:
-        """Whether it never changes again."""
+        """Whether the job can no longer change."""
         return self not in (JobState.QUEUED, JobState.RUNNING)
 
 
 class Need(msgspec.Struct, frozen=True, array_like=True):
-    """What one task takes from a worker.
+    """Resources that one task needs, or that a worker has.
 
     Attributes:
         processor: Thousandths of a core.
         memory: Megabytes.
-        accelerators: Whole ones.
+        accelerators: Whole accelerators.
     """
 
     processor: int = 0
@@ -48,21 +48,23 @@
     """Tasks of one kind within a job.
 
     Attributes:
-        count: Tasks.
-        estimate_seconds: The caller's guess for one task; may be far off.
-        after: Steps, by position, whose tasks must all have ended well before.
-        gang: Its tasks start and end as one.
-        one_rack: Its tasks are much slower when they span racks.
-        label: One that the worker must carry; empty for any worker.
-        data_rack: Where its data lies; elsewhere a task is much slower.
-        most_per_worker: Tasks of the step on one worker; 0 for no bound.
-        checkpoints: Its tasks save progress that a later run can begin from.
-        racing: Copies of a task may run side by side; the first one counts.
-        lasting: Its tasks run until the job is cancelled.
+        count: Number of tasks.
+        estimate_seconds: The caller's estimate for one task; may be far off.
+        after: Positions of steps whose tasks must all have succeeded before this one.
+        gang: Whether its tasks start and end together.
+        one_rack: Whether its tasks are much slower when they span racks.
+        label: Label that the worker must carry; empty for any worker.
+        data_rack: Rack that holds its data; a task is much slower elsewhere.
+        max_per_worker: Most tasks of the step on one worker; 0 for no limit.
+        checkpoints: Whether its tasks save progress that a later run can resume from.
+        speculative: Whether copies of a task may run concurrently; the first to end
+            counts.
+        daemon: Whether its tasks run until the job is cancelled.
         image: What its tasks run; tasks of one image behave alike.
-        target_seconds: A lasting task's own users must be answered within this.
-        filling: Its processor need is not reserved; it uses what others leave.
-        away_limit: Lasting tasks that we may have away at one time.
+        latency_target_seconds: Time within which a daemon task must answer its users.
+        best_effort: Whether its processor need is not reserved; its tasks use what
+            others leave idle.
+        max_unavailable: Daemon tasks that the scheduler may have down at one time.
     """
 
     count: int
@@ -75,7 +77,7 @@
     data_rack: str = ""
     most_per_worker: int = 0
     checkpoints: bool = False
-    racing: bool = False
+    speculative: bool = False
     lasting: bool = False
     image: str = ""
     target_seconds: float = 0.0
@@ -84,11 +86,12 @@
 
 
 class Repeats(msgspec.Struct, frozen=True, array_like=True):
-    """When the steps of a job run more than once, each occurrence on its time.
+    """Schedule of a job whose steps run more than once.
 
     Attributes:
-        first_at: Seconds since 1970 at which the first one is due.
-        interval: Seconds from one to the next.
+        count: Number of occurrences; 0 for a job that runs once.
+        first_at: Seconds since 1970 at which the first occurrence is due.
+        interval: Seconds between occurrences.
     """
 
     count: int = 0
@@ -100,12 +103,12 @@
     """A job as it was accepted; never changed afterwards.
 
     Attributes:
-        queue: The name of the queue that it was handed to.
-        pool: The workers that the queue led to at that time.
-        payload: Passed to the workers as it came.
+        queue: Name of the queue to which it was submitted.
+        pool: Worker pool of the queue at that time.
+        payload: Passed to the workers unchanged.
         accepted_at: Seconds since 1970 by the accepting process's clock.
-        attempts: Runs of a task that may fail, as the queue had it at that time; used
-            while no queue of that name is configured.
+        attempts: The queue's limit on failed runs of one task at that time; used while
+            no queue of that name is configured.
     """
 
     job_id: str
@@ -120,7 +123,7 @@
 
 
 class UnitKey(NamedTuple):
-    """What is started as one: a task, or all tasks of a gang.
+    """Identifies a unit that is started as one: a task, or all tasks of a gang.
 
     Attributes:
         occurrence: 0 for a job that runs once.
@@ -133,7 +136,7 @@
 
 
 class Phase(IntEnum):
-    """What the store says of a unit."""
+    """Phase of a unit in its stored record."""
 
     WAITING = 0
     ORDERED = 1
@@ -141,11 +144,11 @@
 
 
 class CrashCount(msgspec.Struct, frozen=True, array_like=True):
-    """How many workers have crashed under one task of a unit.
+    """How many workers have crashed while running one task of a unit.
 
     Attributes:
-        position: The member's place in its unit; 0 for a single task.
-        run: The latest run that was counted; the next owner may find its end again.
+        position: The member's position in its unit; 0 for a single task.
+        run: The latest run that was counted; the next owner may receive its end again.
         alone: Crashes shortly after a start, with nothing else on the worker.
     """
 
@@ -159,14 +162,14 @@
     """One unit that has been started at least once.
 
     Attributes:
-        run: Number of its latest start; counts up and is never used again.
-        failures: Runs that ended as failed.
-        workers: Where each member of the latest run was sent, by position.
-        checkpoint: What a later run may begin from; empty for the beginning.
-        failure_counted: Whether `failures` has that of the latest run in it. An end is
-            repeated to the next owner until its worker is told that it may forget it;
-            counted twice, one failure of a gang would use up two attempts.
-        crashes: Of its tasks under which workers have crashed.
+        run: Number of its latest start; rises and is never reused.
+        failures: Number of runs that failed.
+        workers: Worker of each member of the latest run, by position.
+        checkpoint: Checkpoint that a later run resumes from; empty for the beginning.
+        failure_counted: Whether `failures` includes that of the latest run. A worker
+            repeats an end to the next owner until it is acknowledged; counted twice,
+            one failure of a gang would use up two attempts.
+        crashes: Counts for those of its tasks under which workers have crashed.
     """
 
     occurrence: int
@@ -182,13 +185,13 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """How far a job got; units that were never started are left out.
+    """Progress of a job; units that were never started are left out.
 
     Attributes:
         ended_at: Seconds since 1970 at which it reached a final state, else 0.
-        addresses: Where the workers of its present runs have answered, by name. The
-            list of workers may lack them, or give another writer's address, when the
-            next owner reads it.
+        addresses: Addresses at which the workers of its current runs have answered, by
+            name. When the next owner reads the list of workers, it may lack them or
+            hold an address that another program wrote.
     """
 
     state: JobState
@@ -198,18 +201,18 @@
 
 
 class Cancellation(msgspec.Struct, frozen=True, array_like=True):
-    """A caller's wish that a job end; written once."""
+    """A caller's request to cancel a job; written once."""
 
     asked_at: float = 0.0
 
 
 class EndedRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is left of a job once nothing of it can run any more.
+    """What is kept of a job once nothing of it can run any more.
 
-    Its caller may ask for the state, and may hand the job in again under its id.
+    Its caller may query the state, and may submit the job again under its id.
 
     Attributes:
-        ended_at: Seconds since 1970 at which it reached its state.
+        ended_at: Seconds since 1970 at which it reached its final state.
     """
 
     state: JobState
@@ -219,10 +222,10 @@
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Which process schedules the fleet; the key hangs on that process's lease.
+    """The process that schedules the fleet; its key is under that process's lease.
 
     Attributes:
-        address: Where it listens; no two processes have one at the same time.
+        address: Its listening address; no two processes share one at the same time.
     """
 
     process: str
@@ -230,51 +233,51 @@
 
 
 class GivenUpRecord(msgspec.Struct, frozen=True, array_like=True):
-    """How many owners gave up one after another, with none sound for long since."""
+    """How many owners in a row have resigned, with none sound for long since."""
 
-    times: int
+    count: int
 
 
 _encoder = msgspec.msgpack.Encoder()
 _submissions = msgspec.msgpack.Decoder(Submission)
 _progresses = msgspec.msgpack.Decoder(Progress)
-_given_ups = msgspec.msgpack.Decoder(GivenUpRecord)
+_resignations = msgspec.msgpack.Decoder(GivenUpRecord)
 _owners = msgspec.msgpack.Decoder(OwnerRecord)
 _ended = msgspec.msgpack.Decoder(EndedRecord)
 
 
 def encode_record(record: msgspec.Struct) -> bytes:
-    """Return a record as the store keeps it."""
+    """Return the stored form of a record."""
     return _encoder.encode(record)
 
 
 def decode_submission(value: bytes) -> Submission:
-    """Return a job as it was accepted."""
+    """Return the submission of a job."""
     return _submissions.decode(value)
 
 
 def decode_progress(value: bytes) -> Progress:
-    """Return how far a job got."""
+    """Return the progress of a job."""
     return _progresses.decode(value)
 
 
 def decode_given_up(value: bytes) -> int:
-    """Return how many owners gave up one after another."""
-    return _given_ups.decode(value).times
+    """Return how many owners in a row have resigned."""
+    return _resignations.decode(value).count
 
 
 def decode_owner(value: bytes) -> OwnerRecord:
-    """Return which process schedules the fleet."""
+    """Return the record of the process that schedules the fleet."""
     return _owners.decode(value)
 
 
 def decode_ended(value: bytes) -> EndedRecord:
-    """Return what is left of an ended job."""
+    """Return the record of an ended job."""
     return _ended.decode(value)
 
 
 def is_of_job(progress: Progress, submission: Submission) -> bool:
-    """Whether a record of progress can be that of a job, unit by unit."""
+    """Whether every unit of a progress record exists in a submission."""
     steps = submission.steps
     return all(
         each.occurrence >= 0
--- a/src/primrosestile/state/workers.py
+++ b/src/primrosestile/state/workers.py
@@ -1,4 +1,4 @@
-"""What a worker is, and how runs on it end."""
+"""Workers' entries in the store, and how runs on a worker end."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """What a worker says of itself in the store.
+    """A worker's own entry in the store.
 
     Attributes:
-        worker: Names one life of it; after a crash it has another.
+        worker: Name of one incarnation of the worker; after a crash it has another.
         rack: Label of its rack.
-        leaving_seconds: How much longer it stays at least, once it is leaving.
+        leaving_seconds: Minimum time for which it stays, once it is leaving.
     """
 
     worker: str
@@ -28,15 +28,15 @@
 
 
 def make_bare_entry(worker: str, address: str) -> WorkerEntry:
-    """Return the entry of a worker of which only its address is known."""
+    """Return the entry of a worker whose address alone is known."""
     return WorkerEntry(worker, address, "", "", Need(), (), "", leaving=False)
 
 
 class EndKind(StrEnum):
-    """How a run ended, as its worker tells it.
+    """How a run ended, as its worker reports it.
 
-    `BROKEN` is the end of a gang's member because another member ended, `ALONE`
-    that the other members did not come in time.
+    `GANG_BROKEN`: a gang member ended because another member had ended.
+    `GANG_INCOMPLETE`: the other members of the gang did not start in time.
     """
 
     DONE = "done"
