--- a/features/doubles/foreign.py
+++ b/features/doubles/foreign.py
@@ -1,4 +1,4 @@
-"""Values that another writer left, and ends that answer what they are told to."""
+"""Invalid values as other programs might write them, and canned answers."""
 
 import base64
 import json
@@ -20,13 +20,13 @@
 GOOD_POLICY = make_policy(7)
 GOOD_RUN = ["a.0.0.0", 1, "0bb8", 41, 700]
 GOOD_END = [6, "a.0.0.1", 1, "done", ""]
-GOOD_LOOK = {"clock_ms": 482113, "running": [GOOD_RUN], "ended": [GOOD_END]}
+GOOD_POLL = {"clock_ms": 482113, "running": [GOOD_RUN], "ended": [GOOD_END]}
 
 Change = Callable[[dict[str, Any]], Any]
 
 
 def change(good: bytes, edit: Change) -> bytes:
-    """Return a value with an edit made to what it holds."""
+    """Return the JSON of a value after an edit of its fields."""
     value = json.loads(good)
     edit(value)
     return json.dumps(value).encode()
@@ -53,7 +53,7 @@
 
 
 def nest_deeply(good: bytes) -> bytes:
-    """Return a value with a list in a list, and so on, in one more field."""
+    """Return a value with one more field that holds very deeply nested lists."""
     return good[:-1] + b',"more":' + b"[" * 50_000 + b"]" * 50_000 + b"}"
 
 
@@ -88,7 +88,7 @@
 
 
 def make_worker_fault(fault: str) -> tuple[str, bytes]:
-    """Return the key and value of a worker's entry with a fault."""
+    """Return the key and value of a faulty worker's entry."""
     if fault in WORKER_CHANGES:
         return "servers/x", change(GOOD_WORKER, WORKER_CHANGES[fault])
     if fault in RAW_WORKERS:
@@ -107,7 +107,7 @@
 
 
 def make_wave_fault(fault: str) -> bytes:
-    """Return the value of wave 2 with a fault."""
+    """Return a faulty value of wave 2."""
     good = change(GOOD_WAVE, replace(wave=2))
     if fault == "half of its bytes":
         return good[: len(good) // 2]
@@ -139,14 +139,14 @@
 
 
 def make_policy_fault(fault: str) -> bytes:
-    """Return a configuration with a fault."""
+    """Return a faulty configuration."""
     if fault == "half of its bytes":
         return GOOD_POLICY[: len(GOOD_POLICY) // 2]
     return change(GOOD_POLICY, POLICY_CHANGES[fault])
 
 
 def show_item(key: str, value: Any = "e30=", **fields: Any) -> dict[str, Any]:
-    """Return an item of the store as its answers show it."""
+    """Return an item in the form of the store's answers."""
     return {"key": key, "value": value, "revision": 5, "created": 5, **fields}
 
 
@@ -178,15 +178,15 @@
 }
 
 
-def make_look_fault(fault: str) -> bytes:
-    """Return a worker's answer with a good run, a good end and a faulty row."""
+def make_poll_fault(fault: str) -> bytes:
+    """Return a worker's answer with a valid run, a valid end and a faulty row."""
     name, row = ROW_FAULTS[fault]
-    rows = [*GOOD_LOOK[name], row]
-    return json.dumps({**GOOD_LOOK, name: rows}).encode()
+    rows = [*GOOD_POLL[name], row]
+    return json.dumps({**GOOD_POLL, name: rows}).encode()
 
 
 class CannedConnections:
-    """Answers every call with one reply, in place of `transport.Connections`."""
+    """Replaces `transport.Connections`; answers every call with one fixed reply."""
 
     def __init__(self, body: bytes, status: int = 200) -> None:
         self._reply = Reply(status, {}, body)
@@ -195,33 +195,33 @@
         return self._reply
 
 
-class GarbledLooks:
-    """Passes a process's looks on as JSON, with rows that another edit has changed.
+class GarbledPolls:
+    """Wraps a process's polls: encodes each answer as JSON, edits it and decodes it.
 
     Attributes:
         edit: Changes the answer's body; None for no change.
-        looks: How many were made.
+        polls: Number of polls.
     """
 
     def __init__(self, calls: FleetCalls) -> None:
-        self._look = calls.look
+        self._poll = calls.look
         self.edit: Change | None = None
-        self.looks = 0
+        self.polls = 0
         calls.look = self.look  # type: ignore[method-assign]
 
     async def look(self, *args: Any) -> WorkerLook | Refusal:
-        answer = await self._look(*args)
-        self.looks += 1
+        answer = await self._poll(*args)
+        self.polls += 1
         if isinstance(answer, Refusal):
             return answer
-        body = show_look(answer)
+        body = show_poll(answer)
         if self.edit is not None:
             self.edit(body)
         return read_look(json.dumps(body).encode())[0]
 
 
-def show_look(look: WorkerLook) -> dict[str, Any]:
-    """Return a look as a worker's answer shows it."""
+def show_poll(look: WorkerLook) -> dict[str, Any]:
+    """Return a poll's answer in the form of a worker's JSON."""
     return {
         "clock_ms": look.clock * 1000,
         "running": [
@@ -236,12 +236,12 @@
 
 
 def cut_running(body: dict[str, Any]) -> None:
-    """Cut the rows of what runs to one field."""
+    """Truncate the rows of runs to one field."""
     body["running"] = [row[:1] for row in body["running"]]
 
 
 def change_kinds(body: dict[str, Any]) -> None:
-    """Give the ends of tasks of odd index a kind that nobody knows."""
+    """Give the ends of tasks with an odd index an unknown kind."""
     for row in body["ended"]:
         if int(row[1].rpartition(".")[2]) % 2:
             row[3] = "vanished"
@@ -258,5 +258,5 @@
 
 
 def encode_value(value: bytes) -> str:
-    """Return a value as the store's answers show it."""
+    """Return a value in the form of the store's answers."""
     return base64.b64encode(value).decode()
--- a/features/fuzzing/foreign.feature
+++ b/features/fuzzing/foreign.feature
@@ -1,8 +1,8 @@
-Feature: Whatever others write, what is good holds and nothing ends
+Feature: Malformed values of other programs do not affect valid ones
 
-  Valid entries, answers and items are changed byte by byte and field by field. The
-  good ones beside them are read as before, nothing is raised but the declared failure,
-  and no task of the owner ends.
+  Valid entries, answers and items are mutated byte by byte and field by field. The valid
+  ones beside them are read as before, only the declared failure is raised, and no
+  coroutine of the owner ends.
 
   Scenario: Workers' entries
     Then 400 changed workers' entries leave the others as they are
@@ -11,17 +11,17 @@
     Then 400 changed items of the store leave the others as they are
 
   Scenario: Workers' answers
-    Then 600 changed rows of a worker's answer are never taken as news
+    Then 600 changed rows of a worker's answer never count as absent
     And 300 changed answers of a worker are read or fail as declared
 
   Scenario: Waves, VMs, advice and refusals
     Then 200 changed waves leave the others as they are
-    And 200 changed VMs are never taken as gone
+    And 200 changed VMs never count as removed
     And 200 changed rows of advice leave the others as they are
-    And 200 changed refusals are known or fail as declared
+    And 200 changed refusals are decoded or fail as declared
 
   Scenario: Configurations
     Then 300 changed configurations are read or fail as declared
 
-  Scenario: A fleet at work
-    Then 12 runs with changed values over and beside live workers go on as if nothing were
+  Scenario: A running fleet
+    Then 12 runs are undisturbed by changed entries over and beside those of live workers
--- a/features/fuzzing/foreign.py
+++ b/features/fuzzing/foreign.py
@@ -1,12 +1,11 @@
-"""Hypothesis changes what others write, byte by byte and field by field."""
+"""Hypothesis strategies that mutate JSON values byte by byte and field by field."""
 
 import json
 from typing import Any
 
 from hypothesis import strategies as st
 
-# Values that a field of another form may hold; text is put in as it stands, since not
-# all of them are JSON.
+# Replacements for a field. They are inserted as raw text, since not all are valid JSON.
 ODD_TEXTS = (
     "null",
     "true",
@@ -34,7 +33,7 @@
 
 
 def list_paths(value: Any, path: Path = ()) -> list[Path]:
-    """Return the way to each part of a value, itself included."""
+    """Return the path to each part of a value, itself included."""
     paths = [path]
     parts: Any = ()
     if isinstance(value, dict):
@@ -72,7 +71,7 @@
 
 @st.composite
 def change_fields(draw: st.DrawFn, value: Any) -> bytes:
-    """Draw the JSON of a value of which one part is dropped or of another form."""
+    """Draw the JSON of a value with one part dropped or replaced."""
     path = draw(st.sampled_from(list_paths(value)))
     text = draw(st.none() | st.sampled_from(ODD_TEXTS))
     changed = (
@@ -83,12 +82,12 @@
 
 @st.composite
 def change_bytes(draw: st.DrawFn, data: bytes) -> bytes:
-    """Draw a value of which a few bytes are replaced, dropped or added."""
+    """Draw a value with a few bytes replaced, dropped or added."""
     start = draw(st.integers(0, len(data)))
     length = draw(st.integers(0, 4) | st.just(len(data)))
     return data[:start] + draw(st.binary(max_size=4)) + data[start + length :]
 
 
 def change(value: Any) -> st.SearchStrategy[bytes]:
-    """Return the strategy of a value that another writer has left."""
+    """Return the strategy of mutations of a value."""
     return change_fields(value) | change_bytes(json.dumps(value).encode())
--- a/features/platform/adapter.feature
+++ b/features/platform/adapter.feature
@@ -1,16 +1,16 @@
-Feature: The platform is met as its pages say
-  Names and formats are decoded in one place; a wrong one there loses jobs.
+Feature: The adapter follows the platform's documented interface
+  Names and formats are decoded in one place; a mistake there loses jobs.
 
-  Scenario: The settings file is read
-    Given the platform's settings file with a line that nobody knows
-    Then the process learns its addresses and bounds from it
+  Scenario: The settings file is parsed
+    Given the platform's settings file with an unknown line
+    Then its addresses and limits are parsed
 
-  Scenario: A settings file without the store's address ends the program
+  Scenario: A settings file without the store's address is rejected
     Given the platform's settings file without platform.address
-    Then reading it says which line is missing
+    Then parsing fails and names the missing line
 
-  Scenario Outline: A body that is no job is refused at once
-    When a caller hands in the body <body>
+  Scenario Outline: A body that is not a job is refused
+    When a caller submits the body <body>
     Then the body is refused as malformed
 
     Examples:
@@ -26,55 +26,55 @@
       | {"spec":"x","steps":[{"count":99999}]}              |
       | {"spec":7,"steps":[{"count":1}]}                    |
 
-  Scenario: Every field of a step has its own place
-    When a caller hands in a step that uses every field
-    Then the step says the same in our words
+  Scenario: Every field of a step is decoded
+    When a caller submits a step that uses every field
+    Then every field of the step is decoded
 
-  Scenario: A worker's entry is read
-    Then a worker's entry gives its rack, room and whether it leaves
+  Scenario: A worker's entry is decoded
+    Then a worker's entry gives its rack, capacity and whether it is leaving
 
-  Scenario: A policy is read
+  Scenario: A policy is decoded
     Then a stored configuration gives queues, keys, guarantees and limits
     And the longest prefix selects the queue
 
   Scenario: A queue whose workers only the advice service knows
     Given the platform's stand-in over HTTP with 2 workers
-    And its queues' workers are known to its advice service only
+    And only its advice service knows its queues' workers
     And a process of ours on it
-    When a caller hands in a job over HTTP
+    When a caller submits a job over HTTP
     Then the caller is shown the job as completed
-    And each start carried a good ticket
+    And each start carried a valid ticket
 
-  Scenario: A worker's answer that nobody can read says nothing about the run
-    A proxy, or a fault of the worker's own, answers an order with a status that no
-    page names. Taken for a refusal, the run would begin a second time elsewhere
-    while the first goes on.
-    Then an order that is answered with 500 may have been carried out
-    And one that is answered with 400 was not
+  Scenario: An order that is answered with an unknown status may have taken effect
+    A proxy, or a fault of the worker, answers an order with a status that the platform
+    does not document. If it counted as a refusal, the run would be started a second
+    time elsewhere while the first continues.
+    Then an order that is answered with 500 may have taken effect
+    And an order that is answered with 400 had no effect
 
   Scenario: A write is answered by something that is not the store
-    What stands between us and the store answers a write with a status that the store
-    never gives. The write may stand all the same; were it taken as not done, a caller
-    would be told that a job was not accepted, and it would run and be billed.
-    Then a write that is answered with 500 may have been done
-    And a write that is answered with 502 may have been done
-    And a write that is answered with 504 may have been done
-    And a write that is answered with 503 was not done
-    And a write that is answered with 429 was not done
+    A proxy answers a write with a status that the store never returns. The write may
+    have taken effect; if it counted as failed, a caller would be told that a job was
+    not accepted, and it would run and be billed.
+    Then a write that is answered with 500 may have taken effect
+    And a write that is answered with 502 may have taken effect
+    And a write that is answered with 504 may have taken effect
+    And a write that is answered with 503 had no effect
+    And a write that is answered with 429 had no effect
 
-  Scenario: The list of VMs is read page by page, and upkeep is ordered
-    Then the VMs of two pages are read
-    And an order for upkeep carries its holder and fence
-    And a refused order is told by its reason
-    And an order with any other answer counts as not answered
+  Scenario: The list of VMs is read page by page, and maintenance is ordered
+    Then the VMs on two pages are listed
+    And a maintenance order carries its holder and fence
+    And a refused order returns its reason
+    And an order with any other answer fails as unanswered
 
   Scenario: A process serves callers on the platform's stand-in over HTTP
     Given the platform's stand-in over HTTP with 2 workers
     And a process of ours on it
-    When a caller hands in a job over HTTP
+    When a caller submits a job over HTTP
     Then the caller is shown the job as completed
-    And the stand-in's ledger shows nothing wrong
-    And callers' mistakes are answered
+    And the stand-in's ledger shows no faults
+    And invalid requests get these statuses
       | method | path                    | key     | status |
       | GET    | /usual/00000000000000ff | good    | 410    |
       | DELETE | /usual/00000000000000ff | good    | 410    |
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -1,4 +1,4 @@
-"""Steps for values, rows and answers that nobody here wrote."""
+"""Steps for values, rows and answers that other programs wrote."""
 
 import asyncio
 import json
@@ -15,13 +15,13 @@
     ITEM_FAULTS,
     CannedConnections,
     Change,
-    GarbledLooks,
+    GarbledPolls,
     OnePage,
     change_kinds,
     cut_running,
     encode_value,
-    make_look_fault,
     make_policy_fault,
+    make_poll_fault,
     make_wave_fault,
     make_worker_fault,
     show_item,
@@ -49,18 +49,18 @@
 
 
 def make_store(body: Any, status: int = 200) -> PlatformStore:
-    """Return a store that answers every call with one body."""
+    """Return a store client whose every call is answered with one body."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     return PlatformStore("", CannedConnections(data, status), link=1000.0)
 
 
 def fail(work: Coroutine[Any, Any, Any]) -> Failure:
-    """Return the failure of a call that has to fail."""
+    """Return the failure of a call that must fail."""
     try:
         answer = asyncio.run(work)
     except Failure as failure:
         return failure
-    raise AssertionError(f"taken for an answer: {answer}")
+    raise AssertionError(f"returned as an answer: {answer}")
 
 
 def list_workers(store: Any) -> list[str]:
@@ -74,31 +74,31 @@
     context.store = OnePage(("servers/w1", GOOD_WORKER), make_worker_fault(fault))
 
 
-@then("only the good worker is listed")
+@then("only the valid worker is listed")
 def check_listed(context: Any) -> None:
     assert list_workers(context.store) == ["w1"], list_workers(context.store)
 
 
-@when("the store shows a page of workers with {fault} beside a good one")
+@when("the store returns a page of workers with {fault} beside a good one")
 def show_page(context: Any, fault: str) -> None:
     good = show_item("servers/w1", encode_value(GOOD_WORKER))
     items = [ITEM_FAULTS[fault], good]
     context.store = make_store({"store_revision": 9, "items": items})
 
 
-@then("the good worker of the page is listed")
+@then("the valid worker of the page is listed")
 def check_page(context: Any) -> None:
     assert list_workers(context.store) == ["w1"]
 
 
-@when("the store shows a page of records with an item without a key")
+@when("the store returns a page of records with an item without a key")
 def show_records(context: Any) -> None:
     good = show_item("progress/a")
     items = [good, ITEM_FAULTS["an item without a key"]]
     context.store = make_store({"store_revision": 9, "items": items})
 
 
-@then("the records are not taken as read")
+@then("listing the records fails")
 def check_records(context: Any) -> None:
     failure = fail(list_entries(context.store, "progress/"))
     assert failure.kind is ErrorKind.STORE_UNAVAILABLE, failure
@@ -114,12 +114,12 @@
 @when("the store answers a watch with an event that can't be read")
 def show_events(context: Any) -> None:
     store = make_store({"store_revision": 9, "events": [show_item("work/a"), 7]})
-    context.heard = asyncio.run(store.watch_once("work/", 4, 1.0))
+    context.watch = asyncio.run(store.watch_once("work/", 4, 1.0))
 
 
-@then("what was heard is not complete")
-def check_heard(context: Any) -> None:
-    assert not context.heard.complete
+@then("the watch result is incomplete")
+def check_watch(context: Any) -> None:
+    assert not context.watch.complete
 
 
 @then("a change that is answered {body} has an unknown outcome")
@@ -135,7 +135,7 @@
 
 
 async def look(body: bytes, status: int = 200) -> Any:
-    """Look at a worker that answers one body."""
+    """Poll a worker that answers with one body."""
     calls = PlatformWorkers(CannedConnections(body, status))
     entry = await PlatformWorkerList(
         OnePage(("servers/w1", GOOD_WORKER))
@@ -143,30 +143,30 @@
     return await calls.look(entry.entries[0], 7, 0, None, 0.0)
 
 
-@when("a worker answers a look with {row}")
-def answer_look(context: Any, row: str) -> None:
-    context.look = asyncio.run(look(make_look_fault(row)))
-    assert isinstance(context.look, WorkerLook)
+@when("a worker answers a poll with {row}")
+def answer_poll(context: Any, row: str) -> None:
+    context.poll = asyncio.run(look(make_poll_fault(row)))
+    assert isinstance(context.poll, WorkerLook)
 
 
-@then("the look reads the good run and the good end")
+@then("the poll returns the valid run and the valid end")
 def check_good_rows(context: Any) -> None:
     task, run, checkpoint, percent, usage = GOOD_RUN
-    assert context.look.running == (
+    assert context.poll.running == (
         RunningTask(task, run, checkpoint, percent, usage),
-    ), context.look
-    assert [each.kind for each in context.look.ended] == [EndKind.DONE]
+    ), context.poll
+    assert [each.kind for each in context.poll.ended] == [EndKind.DONE]
 
 
-@then("what the look does not show is not taken as absent")
+@then("the poll is marked as incomplete")
 def check_partial(context: Any) -> None:
-    assert not context.look.complete
+    assert not context.poll.complete
 
 
-@then("ends may be forgotten up to number {most}")
-def check_forgettable(context: Any, most: str) -> None:
+@then("ends may be acknowledged up to number {most}")
+def check_acknowledgeable(context: Any, most: str) -> None:
     expected = None if most == "all" else int(most)
-    assert context.look.forget_limit == expected, context.look
+    assert context.poll.forget_limit == expected, context.poll
 
 
 @then("a run with an unreadable percent and usage is still listed")
@@ -181,13 +181,13 @@
     assert answer.complete
 
 
-@then("a look that is answered {body} fails as unanswered")
+@then("a poll that is answered {body} fails as unanswered")
 def check_unreadable(context: Any, body: str) -> None:
     assert fail(look(body.encode())).kind is ErrorKind.WORKER_UNREACHABLE
 
 
 async def order(body: bytes) -> Any:
-    """Start a run on a worker that refuses with one body."""
+    """Start a run on a worker that refuses it with one body."""
     calls = PlatformWorkers(CannedConnections(body, 409))
     found = await PlatformWorkerList(
         OnePage(("servers/w1", GOOD_WORKER))
@@ -216,12 +216,12 @@
     context.advice = asyncio.run(calls.ask("a.0.0", workers, 1.0))
 
 
-@then("the good row is taken")
+@then("the valid row is used")
 def check_good_advice(context: Any) -> None:
     assert [each.worker for each in context.advice.allowed] == ["w1"]
 
 
-@then("the answer counts as not complete")
+@then("the answer is marked as incomplete")
 def check_partial_advice(context: Any) -> None:
     assert not context.advice.complete
 
@@ -231,7 +231,7 @@
     return PlatformUpkeep("", "p1", OnePage(), CannedConnections(data, status))
 
 
-@when("the list of VMs shows a row that can't be read but for its name")
+@when("the list of VMs has a row of which only the name can be read")
 def show_vms(context: Any) -> None:
     good = {"machine": "m1", "pool": "engine", "state": "up", "id": "w1"}
     calls = make_upkeep({"machines": [good, {**good, "machine": "m2", "id": 7}]})
@@ -244,21 +244,21 @@
     assert states == [("m1", VmState.UP), ("m2", VmState.DOWN)], states
 
 
-@then("a list with a row without a name is not taken as read")
+@then("a list with a row without a name fails")
 def check_nameless(context: Any) -> None:
     for row in (7, {"state": "up"}, {"machine": 7}):
         failure = fail(make_upkeep({"machines": [row]}).list_vms())
         assert failure.kind is ErrorKind.LIST_UNAVAILABLE
 
 
-@then("an upkeep that is refused with a body that can't be read is unanswered")
+@then("a maintenance order that is refused with an unreadable body is unanswered")
 def check_upkeep_body(context: Any) -> None:
     for body in (b"", b"[", b'{"reason":7}'):
         failure = fail(make_upkeep(body, 409).begin("m1", 7, 42))
         assert failure.kind is ErrorKind.LIST_UNAVAILABLE
 
 
-@then("an upkeep that is refused for an unknown reason is unanswered")
+@then("a maintenance order that is refused for an unknown reason is unanswered")
 def check_upkeep_reason(context: Any) -> None:
     failure = fail(make_upkeep({"reason": "weather"}, 409).begin("m1", 7, 42))
     assert failure.kind is ErrorKind.LIST_UNAVAILABLE
@@ -271,7 +271,7 @@
     )
 
 
-@then("only the good wave is listed")
+@then("only the valid wave is listed")
 def check_waves(context: Any) -> None:
     calls = PlatformUpkeep("", "p1", context.store, CannedConnections(b""))
     waves = asyncio.run(calls.list_waves())
@@ -290,7 +290,7 @@
     except Failure as failure:
         assert failure.kind is ErrorKind.MALFORMED
         return
-    raise AssertionError(f"taken for a policy: {policy}")
+    raise AssertionError(f"returned as a policy: {policy}")
 
 
 def put(context: Any, *entries: tuple[str, bytes]) -> None:
@@ -313,7 +313,7 @@
     put(context, (POLICY_KEY, make_policy(version)))
 
 
-@then("callers are judged by version {version:d}")
+@then("requests are checked against policy version {version:d}")
 def check_version(context: Any, version: int) -> None:
     async def check() -> None:
         for process in context.world.processes.values():
@@ -322,7 +322,7 @@
     context.world.run(check())
 
 
-@then("callers are told that the policy is not recent")
+@then("requests fail since the policy is not recent")
 def check_refused(context: Any) -> None:
     async def check() -> None:
         for process in context.world.processes.values():
@@ -332,12 +332,12 @@
             except Failure as failure:
                 assert failure.kind is ErrorKind.STORE_UNAVAILABLE
             else:
-                raise AssertionError("judged by an older version")
+                raise AssertionError("an outdated policy was returned")
 
     context.world.run(check())
 
 
-@when("foreign values come over the entries of w1 and w2, and beside them")
+@when("another program overwrites the entries of w1 and w2, and adds some of its own")
 def write_foreign(context: Any) -> None:
     beside = ("only a service and an address", "-8 accelerators", "an unknown state")
     entries = [
@@ -349,9 +349,9 @@
     put(context, ("servers/w2", make_worker_fault("an empty address")[1]))
 
 
-@given("the entries of w1 and w2 are right again")
-@when("the entries of w1 and w2 are right again")
-def write_right(context: Any) -> None:
+@given("the entries of w1 and w2 are valid again")
+@when("the entries of w1 and w2 are valid again")
+def write_valid(context: Any) -> None:
     async def write() -> None:
         for name in ("w1", "w2"):
             context.world.list_worker(name, rack=f"r{int(name[1:]) % 2}")
@@ -368,7 +368,7 @@
     assert not [each for each in starts if each[2] in ("w1", "w2")], starts
 
 
-@then("only the four workers have been looked at")
+@then("only the four workers are known to the owner")
 def check_known(context: Any) -> None:
     async def check() -> None:
         owner = context.world.find_owner()
@@ -378,47 +378,47 @@
 
 
 def garble(context: Any, edit: Change | None) -> None:
-    """Change what every process reads of workers' answers."""
+    """Edit all workers' answers before any process decodes them."""
     if "garbled" not in context:
         context.garbled = [
-            GarbledLooks(process.calls) for process in context.world.processes.values()
+            GarbledPolls(process.calls) for process in context.world.processes.values()
         ]
     for each in context.garbled:
         each.edit = edit
 
 
-@when("workers cut short the rows of what runs")
+@when("workers truncate the rows of their runs")
 def garble_running(context: Any) -> None:
     garble(context, cut_running)
 
 
-@when("workers list the end of each second task in a kind that is not known")
+@when("workers report the end of every second task with an unknown kind")
 def garble_ends(context: Any) -> None:
     garble(context, change_kinds)
 
 
-@when("workers' rows are right again")
+@when("workers' rows are valid again")
 def garble_nothing(context: Any) -> None:
     garble(context, None)
 
 
-@then("the workers were asked at most {most:d} times in {seconds:d} s")
-def check_looks(context: Any, most: int, seconds: int) -> None:
-    before = sum(each.looks for each in context.garbled)
+@then("the workers were polled at most {most:d} times in {seconds:d} s")
+def check_polls(context: Any, most: int, seconds: int) -> None:
+    before = sum(each.polls for each in context.garbled)
     context.world.run(asyncio.sleep(seconds))
-    looks = sum(each.looks for each in context.garbled) - before
-    assert 0 < looks <= most, looks
+    polls = sum(each.polls for each in context.garbled) - before
+    assert 0 < polls <= most, polls
 
 
 def read_list(context: Any, value: bytes, times: int) -> None:
-    """Read a list of one entry some times, noting what is told."""
-    if "told" not in context:
-        context.told = []
-        context.refusals = Refusals(
-            lambda source, fault: context.told.append((source.value, fault.value))
+    """Read a list of one entry several times, recording the counted rejections."""
+    if "logged" not in context:
+        context.logged = []
+        context.rejections = Refusals(
+            lambda source, fault: context.logged.append((source.value, fault.value))
         )
     page = OnePage(("servers/x", value))
-    workers = PlatformWorkerList(page, find_pools, context.refusals)
+    workers = PlatformWorkerList(page, find_pools, context.rejections)
     for _ in range(times):
         asyncio.run(workers.list_workers())
 
@@ -433,19 +433,19 @@
     read_list(context, make_worker_fault(fault)[1], times)
 
 
-@when("the entry is right, and the list is read {times:d} times")
-def read_right(context: Any, times: int) -> None:
+@when("the entry is valid, and the list is read {times:d} times")
+def read_valid(context: Any, times: int) -> None:
     read_list(context, GOOD_WORKER, times)
 
 
-@then("{count:d} refusal is told, as {source} {fault}")
-@then("{count:d} refusals are told, the last as {source} {fault}")
-def check_told(context: Any, count: int, source: str, fault: str) -> None:
-    assert len(context.told) == count, context.told
-    assert context.told[-1] == (source, fault), context.told
+@then("{count:d} rejection is logged, as {source} {fault}")
+@then("{count:d} rejections are logged, the last as {source} {fault}")
+def check_logged(context: Any, count: int, source: str, fault: str) -> None:
+    assert len(context.logged) == count, context.logged
+    assert context.logged[-1] == (source, fault), context.logged
 
 
-@given("an entry of another writer beside them")
+@given("an entry of another program in the list of workers")
 def put_beside(context: Any) -> None:
     platform = context.platform
     value = make_worker_fault("only a service and an address")[1]
@@ -456,7 +456,7 @@
     platform.runner.run(put())
 
 
-@then("the page of metrics counts {count:d} {source} refused for its {fault}")
+@then("the metrics count {count:d} {source} rejected for its {fault}")
 def check_metrics(context: Any, count: int, source: str, fault: str) -> None:
     wanted = (
         f'unreadable_total{{fault="{fault}",program="node",source="{source}"}} {count}'
--- a/features/steps/foreign_fuzzing_steps.py
+++ b/features/steps/foreign_fuzzing_steps.py
@@ -1,4 +1,4 @@
-"""Steps that change what others write, and the oracle: a few lines for each kind."""
+"""Steps that mutate the values of other programs, with an oracle for each kind."""
 
 import asyncio
 import ipaddress
@@ -51,7 +51,7 @@
 
 
 def check_entry(entry: WorkerEntry) -> None:
-    """Raise where an entry names no worker to use."""
+    """Raise where an entry is not that of a usable worker."""
     host, _, port = entry.address.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     assert 0 < int(port) < 65_536
@@ -102,7 +102,7 @@
                 list_entries(make_store(body), "servers/", whole=False)
             )
         except Failure as failure:
-            # Only where the page itself is no JSON any more.
+            # Only when the page as a whole is not valid JSON any more.
             assert failure.kind is ErrorKind.STORE_ANSWER_LOST
             assert not is_json(body)
             return
@@ -113,7 +113,7 @@
 
 
 def is_json(body: bytes) -> bool:
-    """Whether a body is JSON by the letter, without numbers that are none."""
+    """Whether a body is strict JSON, without NaN, Infinity or a lone surrogate."""
 
     def refuse(word: str) -> None:
         raise ValueError(word)
@@ -126,13 +126,13 @@
 
 
 def look(body: bytes) -> Any:
-    """Return what a look at a worker that answers a body comes to."""
+    """Poll a worker that answers with a body; return the result."""
     entry = read_worker(Entry("servers/w1", GOOD_WORKER, 1, 1))
     calls = PlatformWorkers(CannedConnections(body))
     return asyncio.run(calls.look(entry, 7, 0, None, 0.0))
 
 
-@then("{count:d} changed rows of a worker's answer are never taken as news")
+@then("{count:d} changed rows of a worker's answer never count as absent")
 def change_rows(context: Any, count: int) -> None:
     rows = [("running", place) for place in range(3)]
     rows += [("ended", place) for place in range(3)]
@@ -156,13 +156,13 @@
         except Failure as failure:
             assert failure.kind is ErrorKind.WORKER_UNREACHABLE
             return
-        check_look(found, name, place)
+        check_poll(found, name, place)
 
     run_property(check, values, count)
 
 
-def check_look(found: WorkerLook, name: str, place: int) -> None:
-    """Raise where a row that can't be read counts as absent, or may be forgotten."""
+def check_poll(found: WorkerLook, name: str, place: int) -> None:
+    """Raise where an unreadable row counts as absent or may be acknowledged."""
     shown = {(row.task, row.run) for row in found.running}
     shown |= {(row.task, row.run) for row in found.ended}
     for each, rows, first in (("running", RUNNING, 0), ("ended", ENDED, 1)):
@@ -208,7 +208,7 @@
     run_property(check, change({**json.loads(GOOD_WAVE), "wave": 2}), count)
 
 
-@then("{count:d} changed VMs are never taken as gone")
+@then("{count:d} changed VMs never count as removed")
 def change_vms(context: Any, count: int) -> None:
     good = json.dumps({**VM, "machine": "m1"}).encode()
 
@@ -244,7 +244,7 @@
     run_property(check, change(["w2", "t2"]), count)
 
 
-@then("{count:d} changed refusals are known or fail as declared")
+@then("{count:d} changed refusals are decoded or fail as declared")
 def change_refusals(context: Any, count: int) -> None:
     def check(body: bytes) -> None:
         try:
@@ -278,8 +278,8 @@
 
 
 @then(
-    "{count:d} runs with changed values over and beside live workers go on as if"
-    " nothing were"
+    "{count:d} runs are undisturbed by changed entries over and beside those of live"
+    " workers"
 )
 def change_fleet(context: Any, count: int) -> None:
     values = st.lists(
@@ -291,7 +291,7 @@
 
 
 def check_fleet(values: list[tuple[str, bytes]]) -> None:
-    """Raise where a job starts anew, or a task of the owner ends."""
+    """Raise where a task is started again, or the owner's term ends."""
     world = FleetWorld()
     job = "0" * 16
     world.fleet.default = Script(seconds=4.0)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -53,7 +53,7 @@
 
 
 def find_free_port() -> int:
-    """Return a port that nobody listens on."""
+    """Return a port on which nothing listens."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
@@ -62,7 +62,7 @@
 QUEUE = Queue("usual", HOST, "/usual/", "engine", 1, 2, 3.0, 1.0, 3.0)
 
 
-@given("the platform's settings file with a line that nobody knows")
+@given("the platform's settings file with an unknown line")
 def step_settings(context: Any) -> None:
     context.lines = SETTINGS.format(ip="127.0.0.1", **EXAMPLE_PORTS)
 
@@ -73,8 +73,8 @@
     context.lines = "\n".join(line for line in lines if "platform" not in line)
 
 
-@then("the process learns its addresses and bounds from it")
-def step_learns(context: Any) -> None:
+@then("its addresses and limits are parsed")
+def step_parsed(context: Any) -> None:
     settings = parse_settings(context.lines)
     assert settings.callers_address == "127.0.0.1:8521"
     assert settings.store_address == "127.0.0.1:8524"
@@ -83,17 +83,17 @@
     assert settings.bounds.lease_longest == 10.0
 
 
-@then("reading it says which line is missing")
+@then("parsing fails and names the missing line")
 def step_missing(context: Any) -> None:
     try:
         parse_settings(context.lines)
     except BadSettings as error:
         assert "platform.address" in str(error)
     else:
-        raise AssertionError("it was read")
+        raise AssertionError("the settings were accepted")
 
 
-@when("a caller hands in the body {body}")
+@when("a caller submits the body {body}")
 def step_body(context: Any, body: str) -> None:
     context.kind = None
     try:
@@ -107,7 +107,7 @@
     assert context.kind is ErrorKind.MALFORMED, context.kind
 
 
-@when("a caller hands in a step that uses every field")
+@when("a caller submits a step that uses every field")
 def step_full(context: Any) -> None:
     step = {
         "count": 4,
@@ -142,8 +142,8 @@
     )
 
 
-@then("the step says the same in our words")
-def step_same(context: Any) -> None:
+@then("every field of the step is decoded")
+def step_decoded(context: Any) -> None:
     step = context.submission.steps[1]
     assert step.need == Need(500, 256, 2)
     assert (step.count, step.estimate_seconds, step.after) == (4, 0.9, (0,))
@@ -155,7 +155,7 @@
     assert (repeats.count, repeats.first_at, repeats.interval) == (3, 5.0, 2.0)
 
 
-@then("a worker's entry gives its rack, room and whether it leaves")
+@then("a worker's entry gives its rack, capacity and whether it is leaving")
 def step_worker(context: Any) -> None:
     shape = PlatformEntry("w1", "10.0.0.1:80", "r1-3", 8, ())
     entry = read_worker(Entry("servers/w1", shape.encode("draining"), 1, 1))
@@ -166,7 +166,7 @@
     except Unreadable as refusal:
         assert refusal.fault is Fault.NOT_JSON
     else:
-        raise AssertionError("half an object was read")
+        raise AssertionError("a truncated entry was accepted")
 
 
 @then("a stored configuration gives queues, keys, guarantees and limits")
@@ -189,7 +189,7 @@
 
 
 class Platform:
-    """The stand-in over HTTP and a process of ours, on one loop of real time."""
+    """The stand-in over HTTP and one of our processes, on a real-time event loop."""
 
     def __init__(self, workers: int) -> None:
         self.runner = asyncio.Runner()
@@ -199,8 +199,8 @@
         self.ends: list[web.AppRunner] = []
         names = ("front", "ready", "store", "advice")
         self.ports = {name: find_free_port() for name in names}
-        # Metrics have one port of their own; an address of its own for each process
-        # of tests keeps those that run side by side apart.
+        # Metrics listen on a fixed port; a separate address for each test process lets
+        # several run concurrently.
         pid = os.getpid()
         self.ip = f"127.{1 + (pid >> 16 & 63)}.{pid >> 8 & 255}.{pid & 255}"
         self.runner.run(self._serve(workers))
@@ -240,7 +240,9 @@
                     return
             except aiohttp.ClientError:
                 pass
-            assert asyncio.get_running_loop().time() < until, "not in time"
+            assert asyncio.get_running_loop().time() < until, (
+                "the status did not come in time"
+            )
             await asyncio.sleep(0.05)
 
     async def call(
@@ -272,7 +274,7 @@
 
 @contextlib.asynccontextmanager
 async def answer_always(path: str, status: int) -> AsyncIterator[str]:
-    """Answer each call to a path with one status; yields the address."""
+    """Serve a path with one fixed status; yield the address."""
 
     async def answer(request: web.Request) -> web.Response:
         return web.Response(status=status, text="{}")
@@ -290,7 +292,7 @@
 
 
 def send_order(status: int) -> OrderAnswer:
-    """Send a start to a worker that answers each order with one status."""
+    """Send a start to a worker that answers every order with one status."""
 
     async def send() -> OrderAnswer:
         async with answer_always("/v1/run-start", status) as address:
@@ -306,7 +308,7 @@
 
 
 def send_write(status: int) -> ErrorKind:
-    """Write to a store that answers each call with one status; return the failure."""
+    """Write to a store that answers every call with one status; return the failure."""
 
     async def send() -> ErrorKind:
         async with answer_always("/v1/kv-txn", status) as address:
@@ -323,28 +325,28 @@
     return asyncio.run(send())
 
 
-@then("a write that is answered with {status:d} may have been done")
-def step_may_be_done(context: Any, status: int) -> None:
+@then("a write that is answered with {status:d} may have taken effect")
+def step_may_have_effect(context: Any, status: int) -> None:
     assert send_write(status) is ErrorKind.STORE_ANSWER_LOST
 
 
-@then("a write that is answered with {status:d} was not done")
-def step_not_done(context: Any, status: int) -> None:
+@then("a write that is answered with {status:d} had no effect")
+def step_write_no_effect(context: Any, status: int) -> None:
     assert send_write(status) is ErrorKind.STORE_UNAVAILABLE
 
 
-@then("an order that is answered with {status:d} may have been carried out")
-def step_may_have_run(context: Any, status: int) -> None:
+@then("an order that is answered with {status:d} may have taken effect")
+def step_order_may_have_effect(context: Any, status: int) -> None:
     try:
         answer = send_order(status)
     except Failure as failure:
         assert failure.kind is ErrorKind.WORKER_UNREACHABLE, failure
         return
-    raise AssertionError(f"taken for a definite answer: {answer}")
+    raise AssertionError(f"returned as a definite answer: {answer}")
 
 
-@then("one that is answered with {status:d} was not")
-def step_was_not(context: Any, status: int) -> None:
+@then("an order that is answered with {status:d} had no effect")
+def step_order_no_effect(context: Any, status: int) -> None:
     assert send_order(status).refusal is Refusal.MALFORMED
 
 
@@ -354,7 +356,7 @@
     context.cleanups.append(context.platform.close)
 
 
-@given("its queues' workers are known to its advice service only")
+@given("only its advice service knows its queues' workers")
 def step_advised_http(context: Any) -> None:
     platform = context.platform
     platform.fleet.default = Script(seconds=0.3, ticketed=True)
@@ -362,7 +364,7 @@
     platform.store.put(POLICY_KEY, make_policy(2, advice=advice))
 
 
-@then("each start carried a good ticket")
+@then("each start carried a valid ticket")
 def step_tickets_http(context: Any) -> None:
     fleet = context.platform.fleet
     assert fleet.starts
@@ -374,7 +376,7 @@
     context.platform.start_node()
 
 
-@when("a caller hands in a job over HTTP")
+@when("a caller submits a job over HTTP")
 def step_submit_http(context: Any) -> None:
     steps = [{"count": 3, "cpu": 1000, "mem_mb": 1000, "gpu": 1}]
     body = json.dumps({"spec": "x", "steps": steps}).encode()
@@ -400,12 +402,12 @@
     context.platform.runner.run(wait())
 
 
-@then("the stand-in's ledger shows nothing wrong")
+@then("the stand-in's ledger shows no faults")
 def step_ledger_http(context: Any) -> None:
     assert not context.platform.fleet.faults_found
 
 
-@then("callers' mistakes are answered")
+@then("invalid requests get these statuses")
 def step_mistakes(context: Any) -> None:
     async def ask(row: Any) -> None:
         key = "key-domes" if row["key"] == "good" else "key-nobody"
--- a/features/steps/platform_upkeep_steps.py
+++ b/features/steps/platform_upkeep_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the list of VMs and upkeep orders, over a listener of a few lines."""
+"""Steps for the list of VMs and maintenance orders, against a minimal HTTP server."""
 
 import asyncio
 import json
@@ -32,11 +32,11 @@
     "m6": (400, "", UpkeepAnswer.NOT_THERE),
     "m7": (429, "", UpkeepAnswer.THROTTLED),
 }
-UNCLEAR = {"m8": 500, "m9": 502, "m10": 503, "m11": 504, "m12": 404}
+UNKNOWN_STATUSES = {"m8": 500, "m9": 502, "m10": 503, "m11": 504, "m12": 404}
 
 
-def meet_list(use: Callable[[PlatformUpkeep, list[Any]], Coroutine[Any, Any, None]]):
-    """Run a use of the adapter against a listener; it sees the orders that came."""
+def with_vm_list(use: Callable[[PlatformUpkeep, list[Any]], Coroutine[Any, Any, None]]):
+    """Run a coroutine with an adapter to a local server, and the orders it received."""
 
     async def run() -> None:
         orders: list[Any] = []
@@ -48,8 +48,8 @@
             body = await request.json()
             orders.append((dict(request.headers), body))
             name = body["machine"]
-            unclear = (UNCLEAR.get(name, 200), "", None)
-            status, reason, _ = REFUSED.get(name, unclear)
+            unknown = (UNKNOWN_STATUSES.get(name, 200), "", None)
+            status, reason, _ = REFUSED.get(name, unknown)
             return web.Response(status=status, text=json.dumps({"reason": reason}))
 
         app = web.Application()
@@ -71,7 +71,7 @@
     asyncio.run(run())
 
 
-@then("the VMs of two pages are read")
+@then("the VMs on two pages are listed")
 def step_pages(context: Any) -> None:
     async def use(calls: PlatformUpkeep, orders: list[Any]) -> None:
         assert await calls.list_vms() == (
@@ -79,10 +79,10 @@
             WorkerVm("m2", "engine", VmState.UPKEEP, ""),
         )
 
-    meet_list(use)
+    with_vm_list(use)
 
 
-@then("an order for upkeep carries its holder and fence")
+@then("a maintenance order carries its holder and fence")
 def step_order(context: Any) -> None:
     async def use(calls: PlatformUpkeep, orders: list[Any]) -> None:
         assert await calls.begin("m1", 7, 42) is UpkeepAnswer.BEGUN
@@ -91,22 +91,22 @@
         assert headers["Duty-Holder"] == "p1"
         assert headers["Fence-Token"] == "42"
 
-    meet_list(use)
+    with_vm_list(use)
 
 
-@then("a refused order is told by its reason")
+@then("a refused order returns its reason")
 def step_refused(context: Any) -> None:
     async def use(calls: PlatformUpkeep, orders: list[Any]) -> None:
         for machine, (_, _, answer) in REFUSED.items():
             assert await calls.begin(machine, 7, 42) is answer, machine
 
-    meet_list(use)
+    with_vm_list(use)
 
 
-@then("an order with any other answer counts as not answered")
-def step_unclear(context: Any) -> None:
+@then("an order with any other answer fails as unanswered")
+def step_unanswered(context: Any) -> None:
     async def use(calls: PlatformUpkeep, orders: list[Any]) -> None:
-        for machine in UNCLEAR:
+        for machine in UNKNOWN_STATUSES:
             try:
                 answer = await calls.begin(machine, 7, 42)
             except Failure as failure:
@@ -114,4 +114,4 @@
             else:
                 raise AssertionError(f"{machine}: {answer}")
 
-    meet_list(use)
+    with_vm_list(use)
