--- a/features/platform/adapter.feature
+++ b/features/platform/adapter.feature
@@ -84,4 +84,4 @@
       | GET    | /usual/                 | good    | 200    |
       | PUT    | /usual/00000000000000ff | good    | 405    |
       | POST   | /usual/00000000000000ff | good    | 400    |
-    And the balancer is told that it is ready
+    And the process reports that it is ready
--- a/features/platform/foreign_entries.feature
+++ b/features/platform/foreign_entries.feature
@@ -55,7 +55,7 @@
     An item in the list of workers is malformed. If the whole page were rejected, or the
     error raised in the task that reads the list, the owner would lose every worker
     because of one key.
-    When the store returns a page of workers with <fault> beside a good one
+    When the store returns a page of workers with <fault> beside a valid one
     Then the valid worker of the page is listed
 
     Examples:
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -79,7 +79,7 @@
     assert list_workers(context.store) == ["w1"], list_workers(context.store)
 
 
-@when("the store returns a page of workers with {fault} beside a good one")
+@when("the store returns a page of workers with {fault} beside a valid one")
 def show_page(context: Any, fault: str) -> None:
     good = show_item("servers/w1", encode_value(GOOD_WORKER))
     items = [ITEM_FAULTS[fault], good]
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -418,6 +418,6 @@
         context.platform.runner.run(ask(row))
 
 
-@then("the balancer is told that it is ready")
+@then("the process reports that it is ready")
 def step_ready_http(context: Any) -> None:
     context.platform.runner.run(context.platform.wait_for("/v1/ready", "ready", 200))
--- a/src/primrosestile/platform/upkeep.py
+++ b/src/primrosestile/platform/upkeep.py
@@ -81,7 +81,7 @@
 
 
 class PlatformUpkeep:
-    """Implements `protocol.upkeep.UpkeepCalls` for one process."""
+    """Implements `protocol.maintenance.MaintenanceCalls` for one process."""
 
     def __init__(
         self,
