--- a/features/steps/placement_tiny_steps.py
+++ b/features/steps/placement_tiny_steps.py
@@ -78,5 +78,5 @@
 
 
 @then("every promise of the tiny cell has a room")
-def check_tiny_rooms(context: Any) -> None:
+def check_tiny_allocations(context: Any) -> None:
     assert is_reclaimable(context.tiny)
--- a/src/primrosestile/decisions/capacity.py
+++ b/src/primrosestile/decisions/capacity.py
@@ -1,9 +1,8 @@
-"""Where one entry has slots free, kept up to date by each change.
+"""Free slots of one entry by target, updated incrementally.
 
-A search through the fleet for each request would cost more the larger the fleet
-and the fuller its slots, which is just when there is no time to lose. So each
-start, end and piece of news changes the figures of the targets concerned, and
-the free ones stand ready in a set.
+A scan of the fleet for each request would cost most when the fleet is large and its
+slots are full, which is when load is highest. So each start, end and update changes the
+figures of the targets concerned, and targets with free slots are kept in a set.
 """
 
 import heapq
@@ -13,7 +12,8 @@
 from primrosestile.decisions.allowances import Allowances, Grant
 from primrosestile.decisions.sampling import SampledSet
 
-# How long a target that said that it leaves is believed over a lagging list.
+# How long a target that reported that it is leaving counts as leaving, even if a
+# lagging list does not show it.
 LEAVING_SECONDS = 120.0
 
 
@@ -23,13 +23,14 @@
     def __init__(self, self_name: str) -> None:
         self._allowances = Allowances(self_name)
         self._leaving: frozenset[str] = frozenset()
-        self._said_leaving: dict[str, float] = {}
+        self._reported_leaving: dict[str, float] = {}
         self._paused: dict[str, float] = {}
-        self._resting: set[str] = set()
+        self._excluded: set[str] = set()
         self._in_flight: dict[str, int] = {}
         self._allowed: dict[str, int] = {}
         self._free = SampledSet()
-        # When figures change by themselves: whose, and under which grant.
+        # Times at which figures change without an event, with the targets and the
+        # grant.
         self._due: list[tuple[float, int, tuple[str, ...], Grant | None]] = []
         self._sequence = 0
         self._now = 0.0
@@ -39,28 +40,28 @@
     def set_targets(
         self, slots: Mapping[str, int], leaving: frozenset[str], now: float
     ) -> None:
-        """Take in the fleet and which of it leaves."""
+        """Set the slots of the fleet and the targets that are leaving."""
         self.advance(now)
         changed = self._allowances.set_slots(slots)
         changed |= self._leaving ^ leaving
         self._leaving = leaving
         for target in changed - slots.keys():
-            self._said_leaving.pop(target, None)
+            self._reported_leaving.pop(target, None)
             self._paused.pop(target, None)
         self._refresh_all(sorted(changed))
 
     def set_entries(self, names: Sequence[str]) -> None:
-        """Take in the live entries."""
+        """Set the live entries."""
         self._allowances.set_entries(names)
         self._refresh_all(self._allowances.list_targets())
 
     def set_grants(
         self, workers: Iterable[str], grants: Mapping[str, int], until: float
     ) -> None:
-        """Take in the grants of one cell, and when they lapse.
+        """Set the grants of one cell, and when they expire.
 
-        Grants come for each cell each second, mostly the same as before. So only
-        what changes is worked out again, and a lapse only if no later grant came.
+        Grants arrive for each cell each second, mostly unchanged. So only changes are
+        computed, and an expiry only if no later grant has arrived.
         """
         grant = Grant(grants, until, until - self._now)
         concerned = tuple(workers)
@@ -70,7 +71,7 @@
         self._expect_change(grant.settled_at, concerned, grant)
 
     def advance(self, now: float) -> None:
-        """Follow the clock: grants lapse, refusals are forgotten."""
+        """Update to the time `now`: expire grants, pauses and reports of leaving."""
         self._now = max(self._now, now)
         while self._due and self._due[0][0] <= self._now:
             _, _, concerned, grant = heapq.heappop(self._due)
@@ -79,44 +80,44 @@
             self._refresh_all(concerned)
 
     def start(self, target: str) -> None:
-        """Note one more request at a target."""
+        """Record the start of a request at a target."""
         self._change_in_flight(target, 1)
 
     def finish(self, target: str) -> None:
-        """Note one request less."""
+        """Record the end of a request at a target."""
         self._change_in_flight(target, -1)
 
     def pause(self, target: str, seconds: float) -> None:
-        """Leave a target alone for a moment."""
+        """Stop sending to a target for some seconds."""
         self._paused[target] = self._now + seconds
         self._expect_change(self._paused[target], (target,))
         self._refresh(target)
 
     def resume(self, target: str) -> None:
-        """Take a target into use before its pause is over."""
+        """End the pause of a target early."""
         self._paused.pop(target, None)
         self._refresh(target)
 
     def is_leaving(self, target: str) -> bool:
-        """Whether the list, its cell's owner or the target itself says so."""
-        return target in self._leaving or target in self._said_leaving
+        """Whether the list, the cell's owner or the target itself reports leaving."""
+        return target in self._leaving or target in self._reported_leaving
 
     def note_leaving(self, target: str) -> None:
-        """Believe a target that says that it leaves."""
-        self._said_leaving[target] = self._now + LEAVING_SECONDS
-        self._expect_change(self._said_leaving[target], (target,))
+        """Record that a target reports that it is leaving."""
+        self._reported_leaving[target] = self._now + LEAVING_SECONDS
+        self._expect_change(self._reported_leaving[target], (target,))
         self._refresh(target)
 
-    def set_resting(self, target: str, resting: bool) -> None:
-        """Keep a target out of ordinary choice, or let it back."""
-        if resting:
-            self._resting.add(target)
+    def set_resting(self, target: str, excluded: bool) -> None:
+        """Exclude a target from ordinary choice, or include it again."""
+        if excluded:
+            self._excluded.add(target)
         else:
-            self._resting.discard(target)
-        self._sort_in(target)
+            self._excluded.discard(target)
+        self._update_free(target)
 
     def has_room(self, target: str) -> bool:
-        """Whether a request may be sent there, set aside or not."""
+        """Whether a request may be sent to a target, even an excluded one."""
         used = self._in_flight.get(target, 0)
         return used < self._allowed.get(target, 0) and target not in self._paused
 
@@ -147,7 +148,7 @@
             self._in_flight[target] = after
         else:
             self._in_flight.pop(target, None)
-        self._sort_in(target)
+        self._update_free(target)
 
     def _expect_change(
         self, time: float, concerned: tuple[str, ...], grant: Grant | None = None
@@ -162,8 +163,8 @@
     def _refresh(self, target: str) -> None:
         if self._paused.get(target, self._now) <= self._now:
             self._paused.pop(target, None)
-        if self._said_leaving.get(target, self._now) <= self._now:
-            self._said_leaving.pop(target, None)
+        if self._reported_leaving.get(target, self._now) <= self._now:
+            self._reported_leaving.pop(target, None)
         used = self._in_flight.get(target, 0)
         before = self._allowed.get(target, 0)
         allowed = self._find_allowed(target)
@@ -173,15 +174,15 @@
             self._allowed[target] = allowed
         else:
             self._allowed.pop(target, None)
-        self._sort_in(target)
+        self._update_free(target)
 
     def _find_allowed(self, target: str) -> int:
-        if target in self._leaving or target in self._said_leaving:
+        if target in self._leaving or target in self._reported_leaving:
             return 0
         return self._allowances.find(target, self._now)
 
-    def _sort_in(self, target: str) -> None:
-        if target not in self._resting and self.has_room(target):
+    def _update_free(self, target: str) -> None:
+        if target not in self._excluded and self.has_room(target):
             self._free.add(target)
         else:
             self._free.discard(target)
--- a/src/primrosestile/decisions/cell.py
+++ b/src/primrosestile/decisions/cell.py
@@ -1,9 +1,9 @@
-"""The picture of one cell that decisions read: who holds what, and what is kept.
+"""In-memory state of one cell: holdings, places being reclaimed, and allocations.
 
-A mutable picture, because a placer updates it with each report and each decision,
-thousands of times an hour, and copying a cell of 1,024 workers each time would
-cost more than the decision. It holds no clock and does no input or output, and it
-can be rebuilt from workers' reports alone, in any order of the holdings.
+The view is mutable: a placer updates it with each report and each decision, thousands
+of times an hour, and copying a cell of 1,024 workers each time would cost more than the
+decision. It has no clock and does no I/O, and it can be rebuilt from worker reports
+alone, with the holdings in any order.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -11,7 +11,7 @@
 
 from primrosestile.decisions.cell_charges import Pinned
 from primrosestile.decisions.cell_records import Demand, Holding, Reservation
-from primrosestile.decisions.cell_rooms import Rooms
+from primrosestile.decisions.cell_rooms import CellAllocations
 from primrosestile.decisions.guarantees_rooms import Layout
 from primrosestile.state.fleet import Worker
 from primrosestile.state.jobs import Member
@@ -21,20 +21,21 @@
 
 
 class CellView:
-    """One cell's workers, what is held on them, and the rooms of its promises.
+    """One cell's workers, the holdings on them, and the allocations of its guarantees.
 
     Attributes:
         index: Worker index by name; all counts below are by worker index.
         capacity: Accelerators.
-        usable: Whether new work may go there.
-        free_bits: Free accelerators, as a bit for each number.
-        free_counts: The number of them, since decisions scan it each time.
+        usable: Whether new work may be placed on the worker.
+        free_bits: Free accelerators, as a bit mask.
+        free_counts: Number of bits in `free_bits`, kept because decisions scan it each
+            time.
         jobs_on: Accelerators held by each job.
-        rooms: Rooms of the promises.
-        mix: Weight of each shape that is asked for, for the measure of
-            fragmentation; empty until some demand was seen.
-        reservation: What is kept for the job that has waited longest.
-        known_fits: Whether the empty cell can hold a shape, for those asked.
+        allocations: Allocations of the guaranteed shapes.
+        mix: Weight of each requested shape, for the measure of fragmentation; empty
+            until a demand was seen.
+        reservation: Accelerators reserved for the job that has waited longest.
+        cached_fits: Cached answers whether the empty cell can hold a shape.
     """
 
     def __init__(
@@ -48,16 +49,16 @@
         self.free_counts = list(self.capacity)
         self.jobs_on: list[dict[str, int]] = [{} for _ in self.workers]
         self.layout = _make_layout(self.workers, self.usable)
-        self.rooms = Rooms(self.layout, promised)
+        self.allocations = CellAllocations(self.layout, promised)
         self.mix: Mapping[Shape, float] = {}
         self.reservation: Reservation | None = None
-        self.known_fits: dict[Shape, bool] = {}
+        self.cached_fits: dict[Shape, bool] = {}
         self._holdings: dict[str, Holding] = {}
         self._incoming: dict[str, Holding] = {}
         self._stopping: dict[str, set[str]] = {}
-        self._claimed_bits = [0] * len(self.workers)
+        self._incoming_bits = [0] * len(self.workers)
         self._by_organisation: dict[str, dict[str, Holding]] = {}
-        self._known_borrowers: dict[str, frozenset[str]] = {}
+        self._cached_borrowers: dict[str, frozenset[str]] = {}
 
     @property
     def holdings(self) -> Mapping[str, Holding]:
@@ -66,18 +67,18 @@
 
     @property
     def incoming(self) -> Mapping[str, Holding]:
-        """Jobs for whose place others are being stopped, by job id."""
+        """Jobs for which victims are being stopped, by job id."""
         return MappingProxyType(self._incoming)
 
     @property
     def stopping(self) -> Mapping[str, set[str]]:
-        """Jobs that are being stopped, with the jobs that they make way for."""
+        """Victims that are being stopped, each with the jobs that need its place."""
         return MappingProxyType(self._stopping)
 
     @property
     def promised(self) -> tuple[tuple[str, Shape], ...]:
-        """The shapes promised in this cell, by organisation."""
-        return self.rooms.promised
+        """The guaranteed shapes of this cell, by organisation."""
+        return self.allocations.promised
 
     @property
     def free(self) -> dict[str, int]:
@@ -89,7 +90,7 @@
         }
 
     def list_held_by(self, organisation: str) -> list[Holding]:
-        """Return an organisation's jobs that run on, and those that come in."""
+        """Return an organisation's incoming jobs and the running ones not stopping."""
         held = [
             holding
             for job_id, holding in self._by_organisation.get(organisation, {}).items()
@@ -103,34 +104,34 @@
         return held
 
     def find_borrowers(self, organisation: str) -> frozenset[str]:
-        """Find an organisation's jobs that run beyond what it is promised here.
+        """Find an organisation's jobs that exceed its guarantee in this cell.
 
-        Its jobs count against the promise in the order of how hard they are to
-        take back: what cannot be stopped, then urgent work, then the oldest.
-        The ones past the promised number are borrowing.
+        Its jobs count against the guarantee in this order: non-preemptible ones, then
+        urgent ones, then the oldest. A job that exceeds what is left of the guaranteed
+        accelerators is borrowing.
         """
-        known = self._known_borrowers.get(organisation)
+        known = self._cached_borrowers.get(organisation)
         if known is not None:
             return known
         left = self.count_promised(organisation)
         borrowers = []
-        for holding in sorted(self.list_held_by(organisation), key=_rank_claim):
+        for holding in sorted(self.list_held_by(organisation), key=_rank_for_guarantee):
             if holding.accelerators <= left:
                 left -= holding.accelerators
             else:
                 borrowers.append(holding.job_id)
-        self._known_borrowers[organisation] = frozenset(borrowers)
-        return self._known_borrowers[organisation]
+        self._cached_borrowers[organisation] = frozenset(borrowers)
+        return self._cached_borrowers[organisation]
 
     def hold(self, holding: Holding) -> None:
-        """Note that a job holds its members; a repeated call changes nothing.
+        """Record that a job holds its members; idempotent.
 
         Raises:
-            ValueError: A member is on an unknown worker or is held by another.
+            ValueError: A member is on an unknown worker or is held by another job.
         """
         known = self._holdings.get(holding.job_id)
         if known is not None and known.members == holding.members:
-            self._note(holding)
+            self._record(holding)
             return
         incoming = self._incoming.get(holding.job_id)
         expected = incoming is not None and incoming.members == holding.members
@@ -142,74 +143,74 @@
             self.release(holding.job_id)
         taken = self._read_members(holding.members, expected)
         for worker, bits in taken:
-            self._claimed_bits[worker] &= ~bits
+            self._incoming_bits[worker] &= ~bits
             self._take(worker, bits)
             self.jobs_on[worker][holding.job_id] = bits.bit_count()
-        self._note(holding)
+        self._record(holding)
         if expected:
-            self._forget_incoming(holding.job_id)
+            self._remove_incoming(holding.job_id)
         if expected and holding.evictable:
-            self.rooms.unpin(holding.job_id)
+            self.allocations.unpin(holding.job_id)
         if not expected and not holding.evictable:
             self._pin(holding)
 
     def hold_all(self, holdings: Iterable[Holding]) -> None:
-        """Note many holdings, as when a cell is taken over.
+        """Record many holdings, as when a cell is taken over.
 
-        The largest are noted first: what they use of their organisation's
-        promises leaves least choice, so rooms are found with fewest searches.
+        The largest come first: they leave the least choice among their organisation's
+        units, so allocations are found with the fewest searches.
         """
         ordered = sorted(holdings, key=lambda each: (-each.accelerators, each.job_id))
         for holding in ordered:
             self.hold(holding)
-        self.rooms.search_again()
+        self.allocations.invalidate()
 
     def release(self, job_id: str) -> Holding | None:
-        """Note that a job holds nothing any more; return what it held."""
+        """Record that a job holds nothing any more; return its holding."""
         holding = self._holdings.pop(job_id, None)
         if holding is None:
             return None
         self._stopping.pop(job_id, None)
         del self._by_organisation[holding.organisation][job_id]
-        self._known_borrowers.pop(holding.organisation, None)
+        self._cached_borrowers.pop(holding.organisation, None)
         for member in holding.members:
             worker = self.index[member.worker]
-            bits = _make_bits(member.accelerators) & ~self._claimed_bits[worker]
+            bits = _make_bits(member.accelerators) & ~self._incoming_bits[worker]
             self._give(worker, bits)
             del self.jobs_on[worker][job_id]
         if not holding.evictable:
-            self.rooms.unpin(job_id)
+            self.allocations.unpin(job_id)
         return holding
 
     def begin_reclaim(self, holding: Holding, victims: Iterable[str]) -> None:
-        """Keep a place for a job while others are stopped to make way for it.
+        """Keep a place for a job while its victims are being stopped.
 
-        Stopping takes seconds. Without this note, the first accelerators that
-        come free would be given to the next job in the queue, and the
-        organisation that took its guarantee back would still wait. A job that
-        comes in counts as work that cannot be stopped until it is there, so a
-        second reclaim never builds on a place that the first has not opened yet.
+        Stopping takes seconds. Without this record, the first accelerators to become
+        free would be given to the next job in the queue, and the reclaiming
+        organisation would still wait. An incoming job counts as non-preemptible until
+        it has started, so that a second reclaim never relies on a place that the first
+        has not freed yet.
 
         Args:
             holding: The job, with the members that the decision named.
-            victims: Those that are being stopped. Each gives its accelerators
-                up with `release`; then `hold` ends the reclaim.
+            victims: Ids of the jobs that are being stopped. Each frees its accelerators
+                with `release`; then `hold` ends the reclaim.
         """
         for worker, bits in self._read_members(holding.members, True):
             self._take(worker, bits & self.free_bits[worker])
-            self._claimed_bits[worker] |= bits
+            self._incoming_bits[worker] |= bits
         self._incoming[holding.job_id] = holding
         for job_id in victims:
             self._stopping.setdefault(job_id, set()).add(holding.job_id)
-            self._known_borrowers.pop(self._holdings[job_id].organisation, None)
-        self._known_borrowers.pop(holding.organisation, None)
+            self._cached_borrowers.pop(self._holdings[job_id].organisation, None)
+        self._cached_borrowers.pop(holding.organisation, None)
         self._pin(holding)
 
     def is_opened(self, job_id: str) -> bool:
-        """Whether nobody holds the place any more that is kept for a job.
+        """Whether the place kept for an incoming job is free of other holdings.
 
-        Asked of the accelerators, not of the victims: one that has stopped may
-        have started again elsewhere before the last of them has stopped.
+        Checks the accelerators, not the victims: a victim may already have been started
+        again elsewhere before the last one has stopped.
         """
         incoming = self._incoming.get(job_id)
         if incoming is None:
@@ -220,38 +221,38 @@
         )
 
     def cancel_reclaim(self, job_id: str) -> None:
-        """Give a kept place up; victims that still run are no longer wanted."""
+        """Release the place kept for a job; its victims need not stop for it."""
         holding = self._incoming.get(job_id)
         if holding is None:
             return
-        self._forget_incoming(job_id)
-        self.rooms.unpin(job_id)
+        self._remove_incoming(job_id)
+        self.allocations.unpin(job_id)
         for member in holding.members:
             worker = self.index[member.worker]
             bits = _make_bits(member.accelerators)
-            self._claimed_bits[worker] &= ~bits
+            self._incoming_bits[worker] &= ~bits
             self._give(worker, bits & ~self._read_held(worker))
 
     def set_usable(self, worker: str, usable: bool) -> None:
-        """Note whether new work may go to a worker.
+        """Set whether new work may be placed on a worker.
 
-        Quarantined, unreachable and leaving workers are not usable. What they
-        hold stays noted until it is released.
+        Quarantined, unreachable and leaving workers are not usable. Their holdings stay
+        recorded until they are released.
         """
         index = self.index[worker]
         if self.usable[index] == usable:
             return
         self.usable[index] = usable
         self.layout = _make_layout(self.workers, self.usable)
-        self.rooms.set_layout(self.layout)
+        self.allocations.set_layout(self.layout)
 
     def set_promised(self, promised: Sequence[tuple[str, Shape]]) -> None:
-        """Replace the promises, after a change of guarantees or of the fleet."""
-        self.rooms.set_promised(promised)
-        self._known_borrowers.clear()
+        """Replace the guaranteed shapes after a change of settings or fleet."""
+        self.allocations.set_promised(promised)
+        self._cached_borrowers.clear()
 
     def count_promised(self, organisation: str) -> int:
-        """Return how many accelerators of this cell an organisation is promised."""
+        """Return the number of accelerators guaranteed to an organisation here."""
         return sum(
             shape.accelerators for name, shape in self.promised if name == organisation
         )
@@ -263,24 +264,24 @@
             for member in holding.members
         }
 
-    def read_unclaimed(self, job_id: str) -> dict[int, int]:
-        """Return the bits of a job's accelerators that no incoming job claims."""
-        unclaimed: dict[int, int] = {}
+    def read_uncommitted(self, job_id: str) -> dict[int, int]:
+        """Return the bits of a job's accelerators not kept for an incoming job."""
+        uncommitted: dict[int, int] = {}
         for member in self._holdings[job_id].members:
             worker = self.index[member.worker]
-            bits = _make_bits(member.accelerators) & ~self._claimed_bits[worker]
-            unclaimed[worker] = unclaimed.get(worker, 0) | bits
-        return unclaimed
+            bits = _make_bits(member.accelerators) & ~self._incoming_bits[worker]
+            uncommitted[worker] = uncommitted.get(worker, 0) | bits
+        return uncommitted
 
-    def _note(self, holding: Holding) -> None:
+    def _record(self, holding: Holding) -> None:
         self._holdings[holding.job_id] = holding
         own = self._by_organisation.setdefault(holding.organisation, {})
         own[holding.job_id] = holding
-        self._known_borrowers.pop(holding.organisation, None)
+        self._cached_borrowers.pop(holding.organisation, None)
 
     def _pin(self, holding: Holding) -> None:
         pinned = Pinned(holding.organisation, holding.shape, self.locate(holding))
-        self.rooms.pin(holding.job_id, pinned)
+        self.allocations.pin(holding.job_id, pinned)
 
     def _take(self, worker: int, bits: int) -> None:
         self.free_counts[worker] -= (self.free_bits[worker] & bits).bit_count()
@@ -290,14 +291,14 @@
         self.free_bits[worker] |= bits
         self.free_counts[worker] = self.free_bits[worker].bit_count()
 
-    def _forget_incoming(self, job_id: str) -> None:
+    def _remove_incoming(self, job_id: str) -> None:
         holding = self._incoming.pop(job_id)
-        self._known_borrowers.pop(holding.organisation, None)
+        self._cached_borrowers.pop(holding.organisation, None)
         for victim, waiting in list(self._stopping.items()):
             waiting.discard(job_id)
             if not waiting:
                 del self._stopping[victim]
-                self._known_borrowers.pop(self._holdings[victim].organisation, None)
+                self._cached_borrowers.pop(self._holdings[victim].organisation, None)
 
     def _read_held(self, worker: int) -> int:
         """Return the bits of a worker that some job holds."""
@@ -314,7 +315,7 @@
             raise ValueError(f"victims still hold the place of {holding.job_id}")
 
     def _read_members(
-        self, members: Sequence[Member], claimed: bool
+        self, members: Sequence[Member], may_be_held: bool
     ) -> list[tuple[int, int]]:
         """Return worker index and bits of each member, checked to be free."""
         taken = []
@@ -323,14 +324,14 @@
             if worker is None:
                 raise ValueError(f"{member.worker} is not a worker of this cell")
             bits = _make_bits(member.accelerators)
-            if not claimed and bits & ~self.free_bits[worker]:
+            if not may_be_held and bits & ~self.free_bits[worker]:
                 name = member.worker
                 raise ValueError(f"accelerators of {name} are held by another job")
             taken.append((worker, bits))
         return taken
 
 
-def _rank_claim(holding: Holding) -> tuple[bool, bool, float, str]:
+def _rank_for_guarantee(holding: Holding) -> tuple[bool, bool, float, str]:
     return (
         holding.evictable,
         holding.urgency is Urgency.PATIENT,
--- a/src/primrosestile/decisions/cell_charges.py
+++ b/src/primrosestile/decisions/cell_charges.py
@@ -1,32 +1,37 @@
-"""Which unit of its organisation a piece of unstoppable work uses.
+"""Assignment of non-preemptible work to the units of its organisation.
 
-A *unit* is one promised shape of one organisation. Work that cannot be stopped is
-*charged* to a unit of its own organisation where one can enclose it; that unit is
-then in use. Everything else that cannot be stopped stays out of all rooms.
+A *unit* is one guaranteed shape of one organisation. Non-preemptible work is *charged*
+to a unit of its own organisation whose allocation can enclose it; that unit is then in
+use. All other non-preemptible work stays outside the allocations.
 """
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from primrosestile.decisions.guarantees_rooms import Layout, Need, Room, find_rooms
+from primrosestile.decisions.guarantees_rooms import (
+    Allocation,
+    Layout,
+    Need,
+    find_allocations,
+)
 from primrosestile.state.tenancy import Shape
 
-# Steps of charging all work anew, times the number of promises that each step
-# finds rooms for. That happens when a cell is taken over or loses a worker, not on
-# each decision. The limit keeps the takeover within a second or two; past it, work
-# that cannot be stopped waits until some has ended.
+# Steps of the search that charges all work again, times the number of units that each
+# step finds allocations for. It runs when a cell is taken over or loses a worker, not
+# on each decision. The limit keeps the takeover within a second or two; past it,
+# non-preemptible jobs wait until some work has ended.
 RECHARGE_STEP_LIMIT = 10_000
 
-# Most pieces of work that are charged anew. Beyond it the search would take
-# longer than the work; the cell then waits for some of it to end.
-RECHARGE_WORK_LIMIT = 300
+# Maximum number of jobs that are charged again. Beyond it the search would take longer
+# than the work; the cell then waits for some of it to end.
+RECHARGE_JOB_LIMIT = 300
 
 Promised = Sequence[tuple[str, Shape]]
 
 
 @dataclass(frozen=True, slots=True)
 class Pinned:
-    """Work that cannot be stopped, by worker index and number of accelerators."""
+    """Non-preemptible work, by worker index and number of accelerators."""
 
     organisation: str
     shape: Shape
@@ -43,7 +48,7 @@
 
 
 def add_charge(need: Need, counts: Mapping[int, int]) -> Need:
-    """Return a need whose room must enclose some more work."""
+    """Return a need whose allocation must enclose some more work."""
     charged = dict(need.charged)
     for worker, count in counts.items():
         charged[worker] = charged.get(worker, 0) + count
@@ -53,7 +58,7 @@
 def list_needs(
     promised: Promised, charges: Mapping[str, int], pinned: Mapping[str, Pinned]
 ) -> list[Need]:
-    """Return each unit's shape with what is charged to it."""
+    """Return each unit's shape with the work that is charged to it."""
     needs = [Need(shape) for _, shape in promised]
     for job_id, unit in charges.items():
         needs[unit] = add_charge(needs[unit], pinned[job_id].counts)
@@ -63,10 +68,10 @@
 def order_units(
     promised: Promised, organisation: str, used: frozenset[int]
 ) -> list[int]:
-    """Order an organisation's units: those that its next work should use first.
+    """Order an organisation's units by which its next work should use first.
 
-    A unit in use is filled up before another is broken into, and a small one is
-    used before a large one, so that large ones stay whole.
+    A unit in use is filled before another is started, and a small one is used before a
+    large one, so that large ones stay whole.
     """
     own = [unit for unit, (name, _) in enumerate(promised) if name == organisation]
     own.sort(key=lambda unit: (unit not in used, promised[unit][1].accelerators, unit))
@@ -75,10 +80,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Units that work could use, in order; None stands for using none.
+    """Units that work could use, in order; None means no unit.
 
     Attributes:
-        preferred: Those that leave every other unit of the organisation whole.
+        preferred: Units whose use leaves all other units of the organisation whole, and
+            None.
         others: Units that are larger than the work needs, or of another shape.
     """
 
@@ -96,10 +102,10 @@
 ) -> Options:
     """Order the units that work of a shape could use.
 
-    Units in use come first, then those of the very shape, or the smallest that
-    it would fill by more than half. Small work goes beside the rooms rather than
-    into a larger unit: a caption pass on one accelerator that cannot be stopped
-    would keep its own organisation's render of a whole rack waiting.
+    Units in use come first, then unused ones of exactly this shape, or else the
+    smallest that it would fill by more than half. Small work goes outside the
+    allocations rather than into a larger unit: a non-preemptible caption job on one
+    accelerator would block its own organisation's render of a whole rack.
     """
     own = order_units(promised, organisation, used)
     unused = [unit for unit in own if unit not in used]
@@ -118,8 +124,8 @@
     return Options((*preferred, None), tuple(others))
 
 
-class Recharge:
-    """Charges all work anew, stepping back where a choice leads nowhere."""
+class RechargeSearch:
+    """Backtracking search that charges all work again."""
 
     def __init__(
         self, layout: Layout, promised: Promised, pinned: Mapping[str, Pinned]
@@ -134,12 +140,13 @@
         )
         self._steps = RECHARGE_STEP_LIMIT // max(1, len(promised))
 
-    def run(self) -> list[Room] | None:
-        """Return the rooms of all units for `charges`, or None."""
-        if not 0 < len(self._work) <= RECHARGE_WORK_LIMIT:
+    def run(self) -> list[Allocation] | None:
+        """Return the allocations of all units for `charges`, None if not found."""
+        if not 0 < len(self._work) <= RECHARGE_JOB_LIMIT:
             return None
-        # Work that is still to be charged counts as free: it may open the room
-        # of its own unit, so leaving it out can only make rooms easier to find.
+        # Work that is not charged yet counts as free: it may be enclosed by the
+        # allocation of its own unit, so leaving it out can only make allocations easier
+        # to find.
         available = list(self._layout.capacity)
         for job_id, work in self._pinned.items():
             if job_id not in self._work:
@@ -147,7 +154,7 @@
                     available[worker] = max(0, available[worker] - count)
         return self._descend(0, available)
 
-    def _descend(self, level: int, available: list[int]) -> list[Room] | None:
+    def _descend(self, level: int, available: list[int]) -> list[Allocation] | None:
         if level == len(self._work):
             return self._find(available)
         job_id = self._work[level]
@@ -165,27 +172,27 @@
             if unit is not None:
                 self.charges[job_id] = unit
             if self._find(left) is not None:
-                rooms = self._descend(level + 1, left)
-                if rooms is not None:
-                    return rooms
+                allocations = self._descend(level + 1, left)
+                if allocations is not None:
+                    return allocations
             self.charges.pop(job_id, None)
         return None
 
-    def _find(self, available: list[int]) -> list[Room] | None:
+    def _find(self, available: list[int]) -> list[Allocation] | None:
         needs = list_needs(self._promised, self.charges, self._pinned)
-        return find_rooms(self._layout, available, needs)
+        return find_allocations(self._layout, available, needs)
 
 
 def keep_most(
     layout: Layout, available: Sequence[int], needs: Sequence[Need]
-) -> tuple[list[Room], frozenset[int]]:
-    """Keep the rooms of as many units as can be; the others are lost.
+) -> tuple[list[Allocation], frozenset[int]]:
+    """Find allocations for as many units as possible; the others are lost.
 
-    Units in use come first, since work is in them that nothing may stop; then
-    small ones, so that most organisations keep theirs.
+    Units in use come first, since non-preemptible work runs in them; then small ones,
+    so that most organisations keep theirs.
 
     Returns:
-        A room for each unit, empty for the lost ones; and which are lost.
+        An allocation for each unit, empty for lost ones; and the lost units.
     """
     order = sorted(
         range(len(needs)),
@@ -196,14 +203,14 @@
         ),
     )
     left = list(available)
-    rooms: list[Room] = [{} for _ in needs]
+    allocations: list[Allocation] = [{} for _ in needs]
     lost = set()
     for unit in order:
-        found = find_rooms(layout, left, [needs[unit]])
+        found = find_allocations(layout, left, [needs[unit]])
         if found is None:
             lost.add(unit)
             continue
-        rooms[unit] = found[0]
+        allocations[unit] = found[0]
         for worker, count in found[0].items():
             left[worker] -= count
-    return rooms, frozenset(lost)
+    return allocations, frozenset(lost)
--- a/src/primrosestile/decisions/cell_records.py
+++ b/src/primrosestile/decisions/cell_records.py
@@ -1,4 +1,4 @@
-"""What a cell's picture is made of: jobs that hold accelerators, and that wait."""
+"""Records of a cell: jobs that hold accelerators, waiting jobs, the reservation."""
 
 from dataclasses import dataclass
 
@@ -11,13 +11,12 @@
     """One job that holds accelerators in the cell.
 
     Attributes:
-        evictable: Whether it may be stopped and run again.
+        evictable: Whether it may be stopped and run again (preemptible).
         checkpoints: Whether its progress can be saved first.
         started_at: Seconds, on the same clock as the `now` of decisions.
         checkpointed_at: When its progress was last saved; at first `started_at`.
         job_class: The key under which its run time is learned.
-        ends_at: When it is expected to end, by learned run times; 0.0 where
-            that is unknown.
+        ends_at: When it is expected to end, by learned run times; 0.0 if unknown.
     """
 
     job_id: str
@@ -45,10 +44,10 @@
 
     Attributes:
         accepted_at: Seconds, on the same clock as the `now` of decisions.
-        declared_seconds: The caller's guess of its run time.
-        expected_seconds: A safe learned run time, which `order_demands` fills
-            in; 0.0 where it is unknown.
-        done_seconds: Work saved by an earlier attempt.
+        declared_seconds: The caller's estimate of its run time.
+        expected_seconds: Conservative learned run time, filled in by `order_demands`;
+            0.0 if unknown.
+        done_seconds: Work checkpointed by an earlier attempt.
     """
 
     job_id: str
@@ -67,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Accelerators kept for the job that has waited longest.
+    """Accelerators reserved for the job that has waited longest.
 
     Attributes:
         counts: Accelerators by worker index.
--- a/src/primrosestile/decisions/cell_rooms.py
+++ b/src/primrosestile/decisions/cell_rooms.py
@@ -1,12 +1,13 @@
-"""The rooms of one cell's promises, kept as work comes and goes.
+"""Allocations of one cell's guaranteed shapes, updated as work starts and ends.
 
-Rooms are remembered, not searched each time: most work can be stopped and changes
-nothing, and most of the rest fits beside the rooms or inside its own. Only what
-does neither pays for a search.
+An allocation is the set of accelerators set aside for one guaranteed shape. Allocations
+are kept rather than searched each time: preemptible work changes nothing, and most
+other work fits outside the allocations or inside its own. Only the remaining cases need
+a search.
 
-When a worker is lost, some promises may have no room for a time. They are named
-as lost and the others keep theirs: one quarantined worker must not stop every
-other organisation from taking its guarantee back.
+After the loss of a worker, some guaranteed shapes may have no allocation for a time.
+Their units are marked as lost and the others keep theirs: one quarantined worker must
+not stop all other organisations from reclaiming their guarantees.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,30 +15,36 @@
 from primrosestile.decisions.cell_charges import (
     Options,
     Pinned,
-    Recharge,
+    RechargeSearch,
     add_charge,
     keep_most,
     list_needs,
     order_charges,
     order_units,
 )
-from primrosestile.decisions.guarantees_rooms import Layout, Need, Room, find_rooms
+from primrosestile.decisions.guarantees_rooms import (
+    Allocation,
+    Layout,
+    Need,
+    find_allocations,
+)
 from primrosestile.state.tenancy import Shape
 
-Charge = tuple[int | None, list[Room]]
+Charge = tuple[int | None, list[Allocation]]
 
-# Largest cell in which one placement may search all rooms anew. In larger ones it
-# may only move those that the work touches, and waits where that is not enough: a
-# search there takes 20 ms and more, and one decision asks for several.
-THOROUGH_WORKERS = 256
+# Largest cell, in workers, in which one placement may search all allocations again. In
+# larger ones a placement may only move the allocations that the work touches, and waits
+# where that is not enough: a full search there takes 20 ms and more, and one decision
+# asks for several.
+FULL_SEARCH_WORKER_LIMIT = 256
 
 
-class Rooms:
-    """Charges and rooms of one cell.
+class CellAllocations:
+    """Charges and allocations of one cell.
 
     Attributes:
         promised: The units: organisation and shape.
-        charges: The unit that each charged piece of work uses, by job id.
+        charges: Unit that each charged job uses, by job id.
     """
 
     def __init__(
@@ -46,98 +53,102 @@
         self.promised = tuple(promised)
         self.charges: dict[str, int] = {}
         self._layout = layout
-        self._whole_layout = layout
-        self._whole: Rooms | None = None
+        self._full_layout = layout
+        self._full: CellAllocations | None = None
         self._pinned: dict[str, Pinned] = {}
         self._pinned_counts = [0] * len(layout.capacity)
-        # Charges of work on workers that are unusable now, for their return.
+        # Charges of work on unusable workers, to be restored when they return.
         self._suspended: dict[str, int] = {}
-        self._rooms: list[Room] = []
+        self._allocations: list[Allocation] = []
         self._lost: frozenset[int] = frozenset()
-        self._known = False
+        self._is_valid = False
         self._may_recharge = True
 
     def set_layout(self, layout: Layout) -> None:
         """Replace the layout, after a worker became usable or unusable."""
         self._layout = layout
-        self.search_again()
+        self.invalidate()
 
     def set_promised(self, promised: Sequence[tuple[str, Shape]]) -> None:
-        """Replace the promises, after a change of guarantees or of the fleet."""
+        """Replace the units, after a change of guarantees or of the fleet."""
         if tuple(promised) == self.promised:
             return
         self.promised = tuple(promised)
         self.charges.clear()
         self._suspended.clear()
-        self._whole = None
-        self.search_again()
+        self._full = None
+        self.invalidate()
 
-    def search_again(self) -> None:
-        """Search all rooms anew when they are asked for next."""
-        self._known = False
+    def invalidate(self) -> None:
+        """Have the next read search all allocations again."""
+        self._is_valid = False
         self._may_recharge = True
 
     def pin(self, job_id: str, pinned: Pinned) -> None:
-        """Note work that cannot be stopped, wherever it is."""
+        """Record running non-preemptible work, wherever it is."""
         found = self._find_charge(self._list_options(pinned), pinned.counts)
         if found is None and not self._lost:
             found = self._find_beside_uncharged(pinned)
         self._pinned[job_id] = pinned
         for worker, count in pinned.counts.items():
             self._pinned_counts[worker] += count
-        if self._whole is not None:
-            self._whole.pin(job_id, pinned)
+        if self._full is not None:
+            self._full.pin(job_id, pinned)
         if found is None:
-            # More work never makes rooms: where one was lost already, it is
-            # enough to see which are left.
+            # More work never adds allocations: where a unit was lost already, it is
+            # enough to determine which are left.
             self._may_recharge = not self._lost
-            self._known = False
+            self._is_valid = False
             return
-        unit, self._rooms = found
+        unit, self._allocations = found
         if unit is not None:
             self.charges[job_id] = unit
 
     def unpin(self, job_id: str) -> None:
-        """Note that such work has ended."""
+        """Record that non-preemptible work has ended."""
         pinned = self._pinned.pop(job_id, None)
         if pinned is None:
             return
-        if self._whole is not None:
-            self._whole.unpin(job_id)
+        if self._full is not None:
+            self._full.unpin(job_id)
         for worker, count in pinned.counts.items():
             self._pinned_counts[worker] -= count
         unit = self.charges.pop(job_id, None)
         self._suspended.pop(job_id, None)
         if self._lost:
-            self.search_again()
-        elif unit is not None and self._known:
-            # The room stays where it is: what the work held of it is free now.
-            room = dict(self._rooms[unit])
+            self.invalidate()
+        elif unit is not None and self._is_valid:
+            # The allocation stays in place and gets back the accelerators of the work.
+            allocation = dict(self._allocations[unit])
             for worker, count in pinned.counts.items():
-                room[worker] = room.get(worker, 0) + count
-            self._rooms = [*self._rooms[:unit], room, *self._rooms[unit + 1 :]]
+                allocation[worker] = allocation.get(worker, 0) + count
+            self._allocations = [
+                *self._allocations[:unit],
+                allocation,
+                *self._allocations[unit + 1 :],
+            ]
 
-    def read(self) -> list[Room]:
-        """Return the room of each unit, without what is charged to it.
+    def read(self) -> list[Allocation]:
+        """Return the allocation of each unit, without the work that is charged to it.
 
-        The room of a unit that is lost is empty.
+        The allocation of a lost unit is empty.
         """
-        if not self._known:
+        if not self._is_valid:
             self._search()
-            self._known = True
+            self._is_valid = True
             self._may_recharge = False
             if not self._lost:
-                self._whole = None
-        return self._rooms
+                self._full = None
+        return self._allocations
 
     @property
     def lost(self) -> frozenset[int]:
-        """Units without a room, after a lost worker or a change of settings."""
+        """Units without an allocation, after a lost worker or a change of settings."""
         self.read()
         return self._lost
 
     def list_available(self) -> list[int]:
-        """Return by worker what is free or held by work that may be stopped."""
+        """Return by worker the accelerators not held by non-preemptible work."""
         return [
             max(0, capacity - pinned)
             for capacity, pinned in zip(
@@ -146,23 +157,23 @@
         ]
 
     def list_spare(self) -> list[int]:
-        """Return by worker what is available and part of no room."""
-        rooms = self.read()
+        """Return by worker the available accelerators outside all allocations."""
+        allocations = self.read()
         spare = self.list_available()
-        for room in rooms:
-            for worker, count in room.items():
+        for allocation in allocations:
+            for worker, count in allocation.items():
                 spare[worker] -= count
         return spare
 
     def order_units(self, organisation: str) -> list[int]:
-        """Order an organisation's units that have a room, see `cell_charges`."""
+        """Order an organisation's units that are not lost, see `cell_charges`."""
         lost = self.lost
         used = frozenset(self.charges.values())
         ordered = order_units(self.promised, organisation, used)
         return [unit for unit in ordered if unit not in lost]
 
     def list_charges(self, organisation: str, shape: Shape) -> Options:
-        """List the units with a room that work of a shape could use."""
+        """List the units, except lost ones, that work of a shape could use."""
         lost = self.lost
         used = frozenset(self.charges.values())
         options = order_charges(self.promised, organisation, used, shape)
@@ -175,83 +186,86 @@
         self,
         work: Pinned,
         options: Sequence[int | None] | None = None,
-        thorough: bool = True,
+        full_search: bool = True,
     ) -> Charge | None:
-        """Find how work that cannot be stopped could be there, all promises kept.
+        """Find a charge for work with which all units keep an allocation.
 
-        While some promise is lost, it must have a room again when all workers
-        are back.
+        While some unit is lost, it must have an allocation again when all workers are
+        back.
 
         Args:
-            work: Not yet pinned.
-            options: The units that it may use, with None for none; by default
-                all that `list_charges` lists.
-            thorough: Whether to search all rooms anew where moving those that
+            work: Non-preemptible work that is not yet pinned.
+            options: The units that it may use, None for no unit; by default all that
+                `list_charges` lists.
+            full_search: Whether to search all allocations again where moving those that
                 the work touches is not enough.
 
         Returns:
-            The unit it would use (None: it needs none) and the rooms of all
-            units then; None when a promise could not be kept.
+            The unit that it would use (None: no unit) and the allocations of all units
+            in that case; None when a unit would lose its allocation.
         """
         if options is None:
             options = self._list_options(work)
-        found = self._find_charge(options, work.counts, thorough)
+        found = self._find_charge(options, work.counts, full_search)
         if found is None or not self._lost:
             return found
-        whole = self._make_whole()
-        if whole.lost or whole.find_charge(work) is None:
+        full = self._make_full()
+        if full.lost or full.find_charge(work) is None:
             return None
         return found
 
     def _list_options(self, work: Pinned) -> Sequence[int | None]:
         return self.list_charges(work.organisation, work.shape).every
 
-    def _make_whole(self) -> "Rooms":
-        """Make the rooms as they would be with all workers back."""
-        if self._whole is None:
-            self._whole = Rooms(self._whole_layout, self.promised)
+    def _make_full(self) -> "CellAllocations":
+        """Make the allocations for the cell with all workers usable."""
+        if self._full is None:
+            self._full = CellAllocations(self._full_layout, self.promised)
             for job_id, pinned in self._pinned.items():
-                self._whole.pin(job_id, pinned)
-            self._whole.search_again()
-        return self._whole
+                self._full.pin(job_id, pinned)
+            self._full.invalidate()
+        return self._full
 
     def _find_charge(
         self,
         options: Sequence[int | None],
         counts: Mapping[int, int],
-        thorough: bool = True,
+        full_search: bool = True,
     ) -> Charge | None:
-        rooms = self.read()
+        allocations = self.read()
         capacity = self._layout.capacity
         if any(capacity[worker] < count for worker, count in counts.items()):
             return None
-        # The rooms as they are answer most questions without a search.
+        # The current allocations answer most queries without a search.
         for unit in options:
-            kept = self._find_inside(unit, rooms, counts)
+            kept = self._find_inside(unit, allocations, counts)
             if kept is not None:
                 return unit, kept
-        return self._search_charge(options, counts, rooms, thorough)
+        return self._search_charge(options, counts, allocations, full_search)
 
     def _find_inside(
-        self, unit: int | None, rooms: list[Room], counts: Mapping[int, int]
-    ) -> list[Room] | None:
-        """Return the rooms if the work fits one as it is, or beside all of them."""
+        self, unit: int | None, allocations: list[Allocation], counts: Mapping[int, int]
+    ) -> list[Allocation] | None:
+        """Return the allocations if the work fits inside one or outside all of them."""
         if unit is None:
             spare = self.list_spare()
             fits = all(spare[worker] >= count for worker, count in counts.items())
-            return rooms if fits else None
-        room = rooms[unit]
-        if any(room.get(worker, 0) < count for worker, count in counts.items()):
+            return allocations if fits else None
+        allocation = allocations[unit]
+        if any(allocation.get(worker, 0) < count for worker, count in counts.items()):
             return None
-        left = {worker: count - counts.get(worker, 0) for worker, count in room.items()}
-        return [*rooms[:unit], left, *rooms[unit + 1 :]]
+        left = {
+            worker: count - counts.get(worker, 0)
+            for worker, count in allocation.items()
+        }
+        return [*allocations[:unit], left, *allocations[unit + 1 :]]
 
     def _search_charge(
         self,
         options: Sequence[int | None],
         counts: Mapping[int, int],
-        rooms: list[Room],
-        thorough: bool,
+        allocations: list[Allocation],
+        full_search: bool,
     ) -> Charge | None:
         available = self.list_available()
         for worker, count in counts.items():
@@ -263,65 +277,71 @@
             trial = list(needs)
             if unit is not None:
                 trial[unit] = add_charge(needs[unit], counts)
-            found = self._shift_rooms(unit, counts, rooms, trial, available)
-            if found is None and thorough and len(available) <= THOROUGH_WORKERS:
+            found = self._move_allocations(unit, counts, allocations, trial, available)
+            if (
+                found is None
+                and full_search
+                and len(available) <= FULL_SEARCH_WORKER_LIMIT
+            ):
                 found = self._find_kept(trial, available)
             if found is not None:
                 return unit, found
         return None
 
-    def _shift_rooms(
+    def _move_allocations(
         self,
         unit: int | None,
         counts: Mapping[int, int],
-        rooms: list[Room],
+        allocations: list[Allocation],
         needs: Sequence[Need],
         available: Sequence[int],
-    ) -> list[Room] | None:
-        """Find new rooms only for the units that the work touches.
+    ) -> list[Allocation] | None:
+        """Move only the allocations that the work touches.
 
-        A cell of 1,024 workers has hundreds of units, and work touches two or
-        three of them. Searching for all would take most of a second.
+        A cell of 1,024 workers has hundreds of units, and work touches two or three of
+        them. Searching for all would take most of a second.
         """
         touched = [
             index
-            for index, room in enumerate(rooms)
-            if index == unit or any(room.get(worker, 0) for worker in counts)
+            for index, allocation in enumerate(allocations)
+            if index == unit or any(allocation.get(worker, 0) for worker in counts)
         ]
         left = list(available)
-        for index, room in enumerate(rooms):
+        for index, allocation in enumerate(allocations):
             if index not in touched:
-                for worker, count in room.items():
+                for worker, count in allocation.items():
                     left[worker] -= count
-        found = find_rooms(self._layout, left, [needs[index] for index in touched])
+        found = find_allocations(
+            self._layout, left, [needs[index] for index in touched]
+        )
         if found is None:
             return None
-        shifted = list(rooms)
-        for index, room in zip(touched, found, strict=True):
-            shifted[index] = room
-        return shifted
+        moved = list(allocations)
+        for index, allocation in zip(touched, found, strict=True):
+            moved[index] = allocation
+        return moved
 
     def _find_beside_uncharged(self, pinned: Pinned) -> Charge | None:
-        """Find a charge after freeing its neighbours of theirs.
+        """Find a charge after clearing those of the work's neighbours.
 
-        Reports of a cell that is taken over come in another order than the work
-        did. A neighbour on the same worker may have been charged to a unit whose
-        room now wants the whole worker, though there was no need for that.
+        When a cell is taken over, holdings are reported in another order than they
+        started. A neighbour on the same worker may have been charged to a unit whose
+        allocation then needs the whole worker, although another charge was possible.
         """
         before = dict(self.charges)
-        rooms = self._rooms
+        allocations = self._allocations
         for job_id in before:
             if not self._pinned[job_id].counts.keys().isdisjoint(pinned.counts):
                 del self.charges[job_id]
         if len(self.charges) < len(before):
             freed = self._find_kept(self._list_needs(), self.list_available())
             if freed is not None:
-                self._rooms = freed
+                self._allocations = freed
                 found = self._find_charge(self._list_options(pinned), pinned.counts)
                 if found is not None:
                     return found
         self.charges = before
-        self._rooms = rooms
+        self._allocations = allocations
         return None
 
     def _list_needs(self) -> list[Need]:
@@ -329,45 +349,47 @@
 
     def _find_kept(
         self, needs: Sequence[Need], available: Sequence[int]
-    ) -> list[Room] | None:
-        """Find rooms for the units that are not lost."""
+    ) -> list[Allocation] | None:
+        """Find allocations for the units that are not lost."""
         kept = [unit for unit in range(len(needs)) if unit not in self._lost]
-        found = find_rooms(self._layout, available, [needs[unit] for unit in kept])
+        found = find_allocations(
+            self._layout, available, [needs[unit] for unit in kept]
+        )
         if found is None:
             return None
-        rooms: list[Room] = [{} for _ in needs]
-        for unit, room in zip(kept, found, strict=True):
-            rooms[unit] = room
-        return rooms
+        allocations: list[Allocation] = [{} for _ in needs]
+        for unit, allocation in zip(kept, found, strict=True):
+            allocations[unit] = allocation
+        return allocations
 
     def _search(self) -> None:
-        """Search all rooms anew, and the charges too where the known ones fail."""
+        """Search all allocations again, and new charges if the current ones fail."""
         self._lost = frozenset()
         self._suspend_lost()
         resumed = self._resume_returned()
-        rooms = self._find_kept(self._list_needs(), self.list_available())
-        if rooms is None and resumed:
-            # While its worker was away the unit has found a room elsewhere, and
-            # other work may have come to rely on that.
+        allocations = self._find_kept(self._list_needs(), self.list_available())
+        if allocations is None and resumed:
+            # While its worker was unusable the unit got an allocation elsewhere, and
+            # other work may depend on it.
             for job_id in resumed:
                 del self.charges[job_id]
-            rooms = self._find_kept(self._list_needs(), self.list_available())
-        if rooms is None and self._may_recharge:
-            recharge = Recharge(self._layout, self.promised, self._pinned)
-            rooms = recharge.run()
-            if rooms is not None:
+            allocations = self._find_kept(self._list_needs(), self.list_available())
+        if allocations is None and self._may_recharge:
+            recharge = RechargeSearch(self._layout, self.promised, self._pinned)
+            allocations = recharge.run()
+            if allocations is not None:
                 self.charges = recharge.charges
-        if rooms is None:
-            rooms = self._keep_most()
-        self._rooms = rooms
+        if allocations is None:
+            allocations = self._keep_most()
+        self._allocations = allocations
 
-    def _keep_most(self) -> list[Room]:
+    def _keep_most(self) -> list[Allocation]:
         needs = self._list_needs()
-        rooms, self._lost = keep_most(self._layout, self.list_available(), needs)
+        allocations, self._lost = keep_most(self._layout, self.list_available(), needs)
         for job_id, unit in list(self.charges.items()):
             if unit in self._lost:
                 del self.charges[job_id]
-        return rooms
+        return allocations
 
     def _suspend_lost(self) -> None:
         for job_id, unit in list(self.charges.items()):
--- a/src/primrosestile/decisions/cellchoice.py
+++ b/src/primrosestile/decisions/cellchoice.py
@@ -1,10 +1,10 @@
-"""Which cell a new gang job is handed to.
+"""Choice of the cell for a new gang job, and moves of waiting jobs between cells.
 
-Made for a stream of gangs over a few to a few hundred cells whose owners decide
-for themselves. Asking every owner for a place would cost messages in proportion
-to jobs times cells; choosing by the digests that entries get anyway costs none.
-The choice may be stale by a second. The harm is a job that waits in one cell while
-another has room, never a wrong placement, since the owner decides about that.
+Cell owners decide about placements on their own. Asking each of a few hundred owners
+would cost messages in proportion to jobs times cells; the digests that entries receive
+anyway cost none. The choice may be stale by a second: at worst a job waits in one cell
+while another has room, but it is never placed wrongly, since the owner decides about
+that.
 """
 
 from collections.abc import Mapping, Sequence
@@ -20,11 +20,11 @@
     Attributes:
         free: Free accelerators by usable worker.
         waiting: Jobs that wait there.
-        promised: Whether the asking organisation has a guarantee there that
-            holds the shape.
-        fresh: Whether its owner has spoken lately.
-        handed: Accelerators that the jobs handed there by this process since
-            its owner spoke ask for. Without them a burst within one second
+        promised: Whether the job's organisation has a guarantee there that holds the
+            shape.
+        fresh: Whether its owner has sent a digest lately.
+        handed: Accelerators requested by the jobs that this process has sent there
+            since the owner's latest digest. Without them a burst within one second
             would all go to the cell that was the best at its beginning.
     """
 
@@ -37,36 +37,36 @@
 
     @property
     def is_working(self) -> bool:
-        """Whether its owner speaks and reaches any worker that takes work.
+        """Whether its owner sends digests and reaches any usable worker.
 
-        A failure domain that is cut off leaves an owner that speaks for workers
-        none of which it reaches; a job handed there would wait for hours.
+        In a partitioned failure domain the owner may still send digests while it
+        reaches none of its workers; a job sent there would wait for hours.
         """
         return self.fresh and bool(self.free)
 
 
-def has_room(picture: CellPicture, shape: Shape) -> bool:
-    """Whether the shape may fit now, as far as the free counts show."""
-    counts = picture.free.values()
-    if shape.accelerators > sum(counts) - picture.handed:
+def has_room(summary: CellPicture, shape: Shape) -> bool:
+    """Whether the shape may fit now, judged by the free counts."""
+    counts = summary.free.values()
+    if shape.accelerators > sum(counts) - summary.handed:
         return False
     if shape.adjacency is Adjacency.WORKER:
         return shape.accelerators <= max(counts, default=0)
     return True
 
 
-# A waiting job moves once another cell could start it at once, but not before its
-# own cell has had the time to reclaim room: that takes a round or two of seconds.
+# A waiting job moves once another cell could start it at once, but not before its own
+# cell has had the time to reclaim capacity, which takes a round or two of seconds.
 SHIFT_AFTER_SECONDS = 4.0
 # Urgent work has 5.8 s to start, of which a move and a start may take three.
 SHIFT_URGENT_AFTER_SECONDS = 1.5
-# A job that was just moved stays put, or two full cells would pass it to and fro.
+# A job that was just moved stays, or two full cells would move it back and forth.
 SHIFT_PAUSE_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class ShiftQuestion:
-    """A waiting job, asked about from its own cell.
+    """A waiting job that its own cell may move to another.
 
     Attributes:
         waited: Seconds since it began to wait in this cell.
@@ -84,47 +84,46 @@
 ) -> str | None:
     """Return the cell to which a waiting job should move, or None.
 
-    Made for uneven load, since entries choose cells by pictures a second old and
-    jobs wait for hours, and for the loss of a whole cell or failure domain. The
-    harm prevented is a job that waits beside free room. A job moves only to room
-    that is free now: moving it from one queue to another helps nobody.
+    Moves even out load, since entries choose cells by summaries a second old and jobs
+    wait for hours, and rescue jobs after the loss of a whole cell or failure domain. A
+    job moves only to a cell that has room now, unless its own cell is lost: a move
+    between two queues gains nothing.
     """
     lost = not here.is_working
-    patience = SHIFT_AFTER_SECONDS
+    wait_limit = SHIFT_AFTER_SECONDS
     if question.urgency is Urgency.URGENT or lost:
-        patience = SHIFT_URGENT_AFTER_SECONDS
-    if question.waited < patience or (question.entitled and not lost):
+        wait_limit = SHIFT_URGENT_AFTER_SECONDS
+    if question.waited < wait_limit or (question.entitled and not lost):
         return None
     candidates = [
-        picture
-        for picture in others
-        if picture.is_working
-        and (lost or (has_room(picture, question.shape) and picture.waiting == 0))
+        summary
+        for summary in others
+        if summary.is_working
+        and (lost or (has_room(summary, question.shape) and summary.waiting == 0))
     ]
     return choose_cell(candidates, question.shape)
 
 
-def choose_cell(pictures: Sequence[CellPicture], shape: Shape) -> str | None:
-    """Return the cell to hand a job to; None when there is none to choose.
+def choose_cell(summaries: Sequence[CellPicture], shape: Shape) -> str | None:
+    """Return the cell to send a job to, None if there are no cells.
 
-    In this order: an owner that has spoken lately, since a cell without one starts
-    nothing; room now with nobody waiting for it, since waiting elsewhere helps
-    nobody; the organisation's own guarantee, where the job can reclaim room; the
-    shorter queue; and of several with room the fullest, which keeps whole workers
-    and racks free in the others.
+    In this order: an owner with recent digests and usable workers, since a cell without
+    one starts nothing; room now and an empty queue; the organisation's own guarantee,
+    where the job can reclaim capacity; the shorter queue; and the fullest of several
+    with room, which keeps whole workers and racks free in the others.
     """
 
-    def rank(picture: CellPicture) -> tuple[bool, bool, bool, int, int, str]:
-        room = has_room(picture, shape) and picture.waiting == 0
-        total = sum(picture.free.values()) - picture.handed
+    def rank(summary: CellPicture) -> tuple[bool, bool, bool, int, int, str]:
+        room = has_room(summary, shape) and summary.waiting == 0
+        total = sum(summary.free.values()) - summary.handed
         return (
-            not picture.is_working,
+            not summary.is_working,
             not room,
-            not picture.promised,
-            picture.waiting,
+            not summary.promised,
+            summary.waiting,
             total if room else -total,
-            picture.cell,
+            summary.cell,
         )
 
-    best = min(pictures, key=rank, default=None)
+    best = min(summaries, key=rank, default=None)
     return best.cell if best else None
--- a/src/primrosestile/decisions/fragmentation.py
+++ b/src/primrosestile/decisions/fragmentation.py
@@ -1,10 +1,10 @@
-"""How much of the free capacity is of no use to the shapes that are asked for.
+"""Measures of fragmentation: free capacity that the requested shapes cannot use.
 
-Two measures. One is for people: the share of the free accelerators that cannot
-host the largest promised shape. The other is for choosing a place: by how much a
-start there would let the capacity grow that is free and yet of no use to the mix
-of shapes that is asked for. It is the idea of fragmentation gradient descent
-(USENIX ATC 2023), with a term for racks, since gangs need whole workers there.
+The measure for operators is the share of the free accelerators that cannot host the
+largest guaranteed shape. The measure for choosing a place is the growth, by a start
+there, of the capacity that is free but unusable for the mix of requested shapes. This
+is fragmentation gradient descent (USENIX ATC 2023) with an added term for racks, since
+gangs need whole workers there.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,22 +13,21 @@
 from primrosestile.decisions.placement_rooms import count_hosting
 from primrosestile.state.tenancy import Adjacency, Shape
 
-# Measured against when an operator has promised nothing: one whole worker, the
-# smallest shape whose accelerators must be adjacent.
+# Used when there are no guarantees: one whole worker of eight accelerators.
 DEFAULT_SHAPE = Shape(8, Adjacency.WORKER)
 
-# The share of the mix that the promised shapes keep, however small the work is
-# that is waiting. Without it a night of small jobs would let the cell be cut up,
-# and the morning's large ones would have to stop them.
+# Share of the mix that the guaranteed shapes keep, however small the waiting jobs are.
+# Without it a night of small jobs would fragment the cell, and the large jobs of the
+# morning would have to stop them.
 PROMISED_SHARE = 0.5
 
-# Distinct shapes that the mix keeps: those that ask for most accelerators. It
-# bounds the cost of a score when callers invent shapes of their own.
+# Maximum number of distinct shapes in the mix; those with the most requested
+# accelerators are kept. It bounds the cost of a score when callers use many shapes.
 MIX_LIMIT = 8
 
 
 def find_largest_shape(view: CellView) -> Shape:
-    """Return the largest promised shape of the cell."""
+    """Return the largest guaranteed shape of the cell."""
     shapes = [shape for _, shape in view.promised]
     if not shapes:
         return DEFAULT_SHAPE
@@ -36,15 +35,15 @@
 
 
 def measure_fragmentation(view: CellView, shape: Shape | None = None) -> float:
-    """Measure what share of the free accelerators cannot host the largest shape.
+    """Measure the share of the free accelerators that cannot host a shape.
 
     Args:
         view: The cell.
-        shape: Measured against this one; by default the largest promised one.
+        shape: The shape; by default the largest guaranteed one.
 
     Returns:
-        From 0 (every free accelerator is part of a room for it, or none is
-        free) to 1 (it fits nowhere).
+        From 0 (every free accelerator is part of a place for it, or none is free) to 1
+        (it fits nowhere).
     """
     free = sum(view.free.values())
     if not free:
@@ -53,7 +52,7 @@
 
 
 def weigh_shapes(view: CellView, demands: Iterable[Demand]) -> dict[Shape, float]:
-    """Weigh the shapes that matter now: the promised ones and those that wait.
+    """Weigh the guaranteed shapes and those of the waiting jobs.
 
     Returns:
         Weights that sum to 1, by shape.
@@ -77,13 +76,13 @@
     return {shape: weight / total for shape, weight in kept.items()}
 
 
-class Growth:
-    """By how much a start lets useless free capacity grow, for one mix."""
+class FragmentationGrowth:
+    """Growth of unusable free capacity by a start, for one mix of shapes."""
 
     def __init__(self, view: CellView, mix: Mapping[Shape, float]) -> None:
         self._view = view
         self._mix = mix
-        self._useless: dict[tuple[int, int], float] = {}
+        self._unusable: dict[tuple[int, int], float] = {}
         layout = view.layout
         self._whole = [
             sum(
@@ -94,7 +93,7 @@
         ]
 
     def measure(self, worker: int, count: int) -> float:
-        """Return the expected growth in accelerators; negative where it shrinks.
+        """Return the expected growth in accelerators, negative if it shrinks.
 
         Args:
             worker: Index of the worker.
@@ -102,39 +101,39 @@
         """
         free = self._view.free_counts[worker]
         capacity = self._view.layout.capacity[worker]
-        growth = self._useless_on_worker(free - count, capacity)
-        growth -= self._useless_on_worker(free, capacity)
+        growth = self._unusable_on_worker(free - count, capacity)
+        growth -= self._unusable_on_worker(free, capacity)
         if free == capacity:
             whole = self._whole[self._view.layout.rack[worker]]
-            growth += self._useless_in_rack(whole - 1, capacity)
-            growth -= self._useless_in_rack(whole, capacity)
+            growth += self._unusable_in_rack(whole - 1, capacity)
+            growth -= self._unusable_in_rack(whole, capacity)
         return growth
 
     def count_whole(self, worker: int) -> int:
         """Return how many workers of the same rack are wholly free."""
         return self._whole[self._view.layout.rack[worker]]
 
-    def _useless_on_worker(self, free: int, capacity: int) -> float:
+    def _unusable_on_worker(self, free: int, capacity: int) -> float:
         key = (free, capacity)
-        if key not in self._useless:
-            self._useless[key] = sum(
-                weight * _count_useless(shape, free, capacity)
+        if key not in self._unusable:
+            self._unusable[key] = sum(
+                weight * _count_unusable(shape, free, capacity)
                 for shape, weight in self._mix.items()
             )
-        return self._useless[key]
+        return self._unusable[key]
 
-    def _useless_in_rack(self, whole: int, capacity: int) -> float:
+    def _unusable_in_rack(self, whole: int, capacity: int) -> float:
         key = (-1 - whole, capacity)
-        if key not in self._useless:
-            self._useless[key] = sum(
+        if key not in self._unusable:
+            self._unusable[key] = sum(
                 weight * capacity * (whole % (shape.accelerators // capacity))
                 for shape, weight in self._mix.items()
                 if shape.adjacency is Adjacency.RACK and shape.accelerators >= capacity
             )
-        return self._useless[key]
+        return self._unusable[key]
 
 
-def _count_useless(shape: Shape, free: int, capacity: int) -> int:
+def _count_unusable(shape: Shape, free: int, capacity: int) -> int:
     """Count the free accelerators of one worker that a shape cannot use."""
     size = shape.accelerators
     if shape.adjacency is Adjacency.CELL:
--- a/src/primrosestile/decisions/fragmentation_moves.py
+++ b/src/primrosestile/decisions/fragmentation_moves.py
@@ -1,10 +1,9 @@
-"""Which running jobs to move so that the largest promised shape has a place again.
+"""Defragmentation: running jobs to move so that the largest guaranteed shape fits.
 
-Made for a cell whose free accelerators would be enough, and lie scattered. A
-render waits in front of them, or the next one will. Moving costs work: the time
-to save progress, what is lost where nothing is saved, and the time to start
-again. So moves are rare, only made when they open a whole place, and stay within
-a limit of the cell's own time.
+Used when a cell has enough free accelerators, but scattered. A move costs work: the
+time of the checkpoint, what is lost without one, and the restart. So moves are rare,
+only made when they free a whole place, and limited to a share of the cell's accelerator
+time.
 """
 
 from dataclasses import dataclass
@@ -18,31 +17,32 @@
     list_free,
     list_places,
 )
-from primrosestile.decisions.reclaim import Opening
+from primrosestile.decisions.reclaim import VictimSelector
 from primrosestile.state.tenancy import Policy, Shape, Urgency
 
-# Largest part of a cell's accelerator time that the move of one interval may cost,
-# with all policy weight on fragmentation. It bounds a single move, which seldom
-# comes: most of the time nothing is scattered, or what would have to move fits
-# nowhere else. Half of it made half as many moves, and work ended no sooner.
-COST_SHARE = 0.2
+# Maximum share of a cell's accelerator time that the move of one interval may cost,
+# with all policy weight on fragmentation. It bounds a single move; moves are rare,
+# since mostly nothing is scattered or the victims fit nowhere else. With half of it,
+# half as many moves were made and work ended no sooner.
+MAX_COST_SHARE = 0.2
 
-# Seconds between moves of one cell. It bounds how often a job can be disturbed,
-# and lets the effect of one move be seen before the next.
+# Minimum seconds between moves in one cell. It bounds how often a job can be disturbed,
+# and the effect of one move is visible before the next.
 INTERVAL_SECONDS = 60.0
 
-# Most jobs of one move; their stops and starts burden the same workers at once.
+# Maximum number of jobs in one move; their stops and starts load the same workers at
+# once.
 VICTIM_LIMIT = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Jobs to stop and to place anew.
+    """Jobs to stop and to place again.
 
     Attributes:
-        victims: Job ids; each may be stopped and run again, and fits elsewhere.
+        victims: Ids of preemptible jobs that fit elsewhere.
         lost: Expected loss, in accelerator seconds.
-        shape: What has a place afterwards.
+        shape: The shape that has a place afterwards.
     """
 
     victims: tuple[str, ...]
@@ -51,13 +51,14 @@
 
 
 def find_move(view: CellView, policy: Policy, now: float) -> Move | None:
-    """Find the cheapest move that opens a place for the largest promised shape.
+    """Find a cheap move that frees a place for the largest guaranteed shape.
 
-    To be asked once in `INTERVAL_SECONDS`.
+    To be called once in `INTERVAL_SECONDS`. Only the three cheapest places are
+    examined.
 
     Returns:
-        None when the shape has a place, when too little is free for it, or when
-        every move would cost more than the limit.
+        None when the shape has a place, when too little is free for it, or when no
+        examined move is possible within the limits.
     """
     shape = find_largest_shape(view)
     if sum(list_free(view)) < shape.accelerators or count_hosting(view, shape):
@@ -68,11 +69,11 @@
         for job_id, holding in view.holdings.items()
         if _is_movable(view, holding)
     )
-    opening = Opening(view, movable, now)
-    places = list_places(view.layout, opening.counts, shape, opening.price, 3)
+    selector = VictimSelector(view, movable, now)
+    places = list_places(view.layout, selector.counts, shape, selector.price, 3)
     for _, place in places:
-        victims = opening.choose_victims(place)
-        lost = opening.measure_lost(victims)
+        victims = selector.choose_victims(place)
+        lost = selector.measure_lost(victims)
         if lost > limit or len(victims) > VICTIM_LIMIT:
             continue
         if _fit_elsewhere(view, place, victims):
@@ -83,11 +84,11 @@
 def _limit_cost(view: CellView, policy: Policy) -> float:
     weight = policy.completion_weight + policy.fragmentation_weight
     share = policy.fragmentation_weight / weight if weight else 0.0
-    return COST_SHARE * share * INTERVAL_SECONDS * sum(view.layout.capacity)
+    return MAX_COST_SHARE * share * INTERVAL_SECONDS * sum(view.layout.capacity)
 
 
 def _is_movable(view: CellView, holding: Holding) -> bool:
-    # Somebody waits for urgent work, and it is over soon anyway.
+    # Urgent jobs are not moved: somebody waits for them, and they end soon anyway.
     return (
         holding.evictable
         and holding.urgency is Urgency.PATIENT
@@ -96,7 +97,7 @@
 
 
 def _fit_elsewhere(view: CellView, place: Place, victims: tuple[str, ...]) -> bool:
-    """Whether all victims have a place beside the one that they open."""
+    """Whether all victims have a place beside the one that they free."""
     left = list_free(view)
     for job_id in victims:
         for worker, count in view.locate(view.holdings[job_id]).items():
--- a/src/primrosestile/decisions/guarantees.py
+++ b/src/primrosestile/decisions/guarantees.py
@@ -1,26 +1,25 @@
-"""Which guarantees the fleet can keep, and which cell keeps each of them.
+"""Feasibility of guarantees, and their assignment to cells.
 
-A set of guarantees is accepted only if every promised shape can still be
-assembled when any one failure domain, or any one rack, is lost. Were only the sum
-compared with the capacity, an organisation would learn of the difference on the
-evening on which a domain fails: its shape would be free in number and nowhere in
-one piece.
+A set of guarantees is accepted only if every guaranteed shape can still be assembled
+after the loss of any one failure domain or any one rack. Comparing only the sum with
+the capacity would accept shapes that, after such a loss, are free in number but fit
+nowhere.
 
-Every placer works out the assignment for itself, from the same settings and the
-same list of lost domains, so nothing has to be agreed: equal inputs, equal answer.
+Every placer computes the assignment itself from the same settings and the same list of
+lost domains. The computation is deterministic, so no agreement is needed.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
 from primrosestile.decisions.cell import CellView
-from primrosestile.decisions.guarantees_rooms import Layout, Need, find_rooms
+from primrosestile.decisions.guarantees_rooms import Layout, Need, find_allocations
 from primrosestile.state.fleet import Cell, Fleet, Worker
 from primrosestile.state.tenancy import Adjacency, Guarantee, Guarantees, Shape
 
-# Steps over (unit, cell) choices when guarantees change, a few times a day. The
-# limit keeps a hopeless set from holding up the operator who asks about it; at
-# the limit the answer is "cannot be kept", never a guarantee that is not there.
+# Steps over (unit, cell) choices, taken when guarantees change, a few times a day. The
+# limit bounds how long an operator waits for the answer about an infeasible set; at the
+# limit the set is reported as infeasible, never accepted wrongly.
 ASSIGN_STEP_LIMIT = 3000
 
 Assignment = dict[str, tuple[tuple[str, Shape], ...]]
@@ -28,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Unit:
-    """One promised shape; `guarantee` is its index in the settings."""
+    """One guaranteed shape; `guarantee` is its index in the settings."""
 
     guarantee: int
     organisation: str
@@ -36,8 +35,8 @@
 
 
 @dataclass(slots=True)
-class _CellRoom:
-    """One cell while units are shared out."""
+class _CellUnits:
+    """One cell with the units assigned to it so far."""
 
     name: str
     failure_domain: str
@@ -46,48 +45,47 @@
     layout: Layout
     units: list[_Unit]
 
-    def has_room(self, unit: _Unit) -> bool:
-        """Whether the cell, empty of work, has rooms for its units and this one."""
+    def fits(self, unit: _Unit) -> bool:
+        """Whether the empty cell has allocations for its units and this one."""
         needs = [Need(each.shape) for each in (*self.units, unit)]
-        return find_rooms(self.layout, self.layout.capacity, needs) is not None
+        return find_allocations(self.layout, self.layout.capacity, needs) is not None
 
     @property
     def left(self) -> int:
-        """Accelerators that are not promised."""
+        """Accelerators that are not guaranteed to anybody."""
         return sum(self.layout.capacity) - sum(
             unit.shape.accelerators for unit in self.units
         )
 
 
 @dataclass(frozen=True, slots=True)
-class _Shared:
-    """The cells with their units, and the units for which there was no room."""
+class _Assigned:
+    """The cells with their units, and the units that fit nowhere."""
 
-    rooms: list[_CellRoom]
-    left_out: list[_Unit]
+    cells: list[_CellUnits]
+    unassigned: list[_Unit]
 
 
 def find_infeasible(fleet: Fleet, guarantees: Guarantees) -> tuple[str, ...]:
-    """Find the guarantees that could not be kept after the loss of a part.
+    """Find the guarantees that are infeasible, also after the loss of a part.
 
     Args:
         fleet: The fleet that the guarantees are for.
-        guarantees: The whole set, since sets that are each fine can be
-            impossible together.
+        guarantees: The whole set, since sets that are each feasible can be infeasible
+            together.
 
     Returns:
-        One sentence for each guarantee that cannot be assembled with the whole
-        fleet, or when one failure domain or one rack is lost; empty when all
-        can.
+        One sentence for each guarantee that cannot be assembled with the whole fleet,
+        or after the loss of one failure domain or one rack; empty when all can.
     """
     units = _list_units(guarantees)
-    whole = _share_whole(fleet, units)
+    whole = _assign_whole(fleet, units)
     faults: dict[int, str] = {}
-    _note_faults(faults, guarantees, whole.left_out, "with the whole fleet")
+    _record_faults(faults, guarantees, whole.unassigned, "with the whole fleet")
     for lost_racks, when in _list_losses(fleet):
-        if _touches(whole, lost_racks):
-            left_out = _share_after_loss(fleet, units, whole, lost_racks).left_out
-            _note_faults(faults, guarantees, left_out, when)
+        if _is_affected(whole, lost_racks):
+            unassigned = _assign_after_loss(fleet, units, whole, lost_racks).unassigned
+            _record_faults(faults, guarantees, unassigned, when)
     return tuple(faults[index] for index in sorted(faults))
 
 
@@ -97,38 +95,38 @@
     lost_domains: frozenset[str] = frozenset(),
     lost_racks: frozenset[str] = frozenset(),
 ) -> Assignment:
-    """Assign every promised shape to a cell that can assemble it.
+    """Assign every guaranteed shape to a cell that can assemble it.
 
-    Units of an organisation are spread over failure domains. When a part is
-    lost, only the units that were there move, if the rest has room for them.
+    Units of an organisation are spread over failure domains. When a part is lost, only
+    the units that were there move, if the rest of the fleet can hold them.
 
     Args:
         fleet: The fleet of the settings.
         guarantees: Those of the settings.
-        lost_domains: Failure domains that are not to be counted on now.
-        lost_racks: Likewise.
+        lost_domains: Failure domains that are unavailable now.
+        lost_racks: Racks that are unavailable now.
 
     Returns:
-        By the name of each cell, the promised shapes by organisation.
+        By the name of each cell, the guaranteed shapes with their organisations.
     """
     units = _list_units(guarantees)
-    shared = _share_whole(fleet, units)
+    assigned = _assign_whole(fleet, units)
     lost = lost_racks | _list_racks(fleet, lost_domains)
     if lost:
-        shared = _share_after_loss(fleet, units, shared, lost)
+        assigned = _assign_after_loss(fleet, units, assigned, lost)
     return {
-        room.name: tuple((unit.organisation, unit.shape) for unit in room.units)
-        for room in shared.rooms
+        cell.name: tuple((unit.organisation, unit.shape) for unit in cell.units)
+        for cell in assigned.cells
     }
 
 
 def is_reclaimable(view: CellView) -> bool:
-    """Whether every promised shape can be assembled at this instant.
+    """Whether every guaranteed shape can be assembled at this instant.
 
-    At once and side by side, by evicting only work that may be evicted, and
-    with each organisation's own unstoppable work inside its own rooms.
+    All of them together, by evicting only preemptible work, and with each
+    organisation's own non-preemptible work inside its own allocations.
     """
-    return not view.rooms.lost
+    return not view.allocations.lost
 
 
 def _list_losses(fleet: Fleet) -> Iterator[tuple[frozenset[str], str]]:
@@ -145,19 +143,19 @@
     )
 
 
-def _note_faults(
+def _record_faults(
     faults: dict[int, str],
     guarantees: Guarantees,
-    left_out: Iterable[_Unit],
+    unassigned: Iterable[_Unit],
     when: str,
 ) -> None:
-    """Word the first loss that breaks each guarantee."""
-    for unit in left_out:
+    """Describe the first loss that breaks each guarantee."""
+    for unit in unassigned:
         guarantee = guarantees.guarantees[unit.guarantee]
-        faults.setdefault(unit.guarantee, _word_fault(guarantee, when))
+        faults.setdefault(unit.guarantee, _describe_fault(guarantee, when))
 
 
-def _word_fault(guarantee: Guarantee, when: str) -> str:
+def _describe_fault(guarantee: Guarantee, when: str) -> str:
     shape = guarantee.shape
     return (
         f"{guarantee.organisation}: {guarantee.count} x {shape.accelerators} "
@@ -166,46 +164,46 @@
     )
 
 
-def _share_whole(fleet: Fleet, units: Sequence[_Unit]) -> _Shared:
-    """Share the units out over the whole fleet."""
-    rooms = _make_rooms(fleet)
-    return _Shared(rooms, _fill(rooms, units))
+def _assign_whole(fleet: Fleet, units: Sequence[_Unit]) -> _Assigned:
+    """Assign the units to cells of the whole fleet."""
+    cells = _make_cells(fleet)
+    return _Assigned(cells, _fill(cells, units))
 
 
-def _touches(shared: _Shared, lost_racks: frozenset[str]) -> bool:
-    """Whether a loss takes from a cell that has units.
+def _is_affected(assigned: _Assigned, lost_racks: frozenset[str]) -> bool:
+    """Whether a loss affects a cell that has units.
 
-    Most racks of a large fleet are promised to nobody; their loss changes nothing,
-    and to share 15,000 workers out anew for each of them took minutes.
+    Most racks of a large fleet have no units; their loss changes nothing, and
+    reassigning 15,000 workers for each of them took minutes.
     """
     return any(
-        room.units and not lost_racks.isdisjoint(room.racks) for room in shared.rooms
+        cell.units and not lost_racks.isdisjoint(cell.racks) for cell in assigned.cells
     )
 
 
-def _share_after_loss(
-    fleet: Fleet, units: Sequence[_Unit], whole: _Shared, lost_racks: frozenset[str]
-) -> _Shared:
-    """Share the units out over what a loss leaves.
+def _assign_after_loss(
+    fleet: Fleet, units: Sequence[_Unit], whole: _Assigned, lost_racks: frozenset[str]
+) -> _Assigned:
+    """Assign the units to what remains after a loss.
 
-    First with what survives left in place, so that work in progress keeps its
-    rooms; only when that fails is everything shared out anew.
+    Units that still fit stay where they are, so that running work keeps its
+    allocations; only if the rest then fits nowhere, all units are assigned again.
     """
-    rooms = [_lose_racks(room, lost_racks) for room in whole.rooms]
-    moved = list(whole.left_out)
-    for room, before in zip(rooms, whole.rooms, strict=True):
-        if room.layout is before.layout:
-            room.units.extend(before.units)
+    cells = [_remove_racks(cell, lost_racks) for cell in whole.cells]
+    moved = list(whole.unassigned)
+    for cell, before in zip(cells, whole.cells, strict=True):
+        if cell.layout is before.layout:
+            cell.units.extend(before.units)
             continue
         for unit in before.units:
-            if room.has_room(unit):
-                room.units.append(unit)
+            if cell.fits(unit):
+                cell.units.append(unit)
             else:
                 moved.append(unit)
-    if not _fill(rooms, sorted(moved, key=_rank_unit)):
-        return _Shared(rooms, [])
-    rooms = [_lose_racks(room, lost_racks) for room in whole.rooms]
-    return _Shared(rooms, _fill(rooms, units))
+    if not _fill(cells, sorted(moved, key=_rank_unit)):
+        return _Assigned(cells, [])
+    cells = [_remove_racks(cell, lost_racks) for cell in whole.cells]
+    return _Assigned(cells, _fill(cells, units))
 
 
 def _list_units(guarantees: Guarantees) -> list[_Unit]:
@@ -227,57 +225,57 @@
     )
 
 
-def _make_rooms(fleet: Fleet) -> list[_CellRoom]:
+def _make_cells(fleet: Fleet) -> list[_CellUnits]:
     domains = {rack.name: rack.failure_domain for rack in fleet.racks}
     by_rack: dict[str, list[Worker]] = {}
     for worker in fleet.workers:
         by_rack.setdefault(worker.rack, []).append(worker)
-    rooms = []
+    cells = []
     for cell in fleet.cells:
         view = CellView(
             [worker for rack in cell.racks for worker in by_rack.get(rack, ())], ()
         )
         domain = _find_domain(cell, domains)
-        rooms.append(_CellRoom(cell.name, domain, cell.racks, view, view.layout, []))
-    return rooms
+        cells.append(_CellUnits(cell.name, domain, cell.racks, view, view.layout, []))
+    return cells
 
 
-def _lose_racks(room: _CellRoom, lost_racks: frozenset[str]) -> _CellRoom:
+def _remove_racks(cell: _CellUnits, lost_racks: frozenset[str]) -> _CellUnits:
     """Return the cell without units, and without the workers of lost racks."""
-    layout = room.layout
-    if not lost_racks.isdisjoint(room.racks):
-        view = CellView(room.view.workers, ())
+    layout = cell.layout
+    if not lost_racks.isdisjoint(cell.racks):
+        view = CellView(cell.view.workers, ())
         for worker in view.workers:
             view.set_usable(worker.name, worker.rack not in lost_racks)
         layout = view.layout
-    return _CellRoom(room.name, room.failure_domain, room.racks, room.view, layout, [])
+    return _CellUnits(cell.name, cell.failure_domain, cell.racks, cell.view, layout, [])
 
 
 def _find_domain(cell: Cell, domains: dict[str, str]) -> str:
     return domains.get(cell.racks[0], "") if cell.racks else ""
 
 
-def _fill(rooms: Sequence[_CellRoom], units: Sequence[_Unit]) -> list[_Unit]:
-    """Add the units to cells; return those for which no room was found."""
-    sharing = _Sharing(rooms, units)
-    if sharing.descend(0):
+def _fill(cells: Sequence[_CellUnits], units: Sequence[_Unit]) -> list[_Unit]:
+    """Add the units to cells; return those that fit nowhere."""
+    search = _AssignmentSearch(cells, units)
+    if search.descend(0):
         return []
-    # Not all of them fit together: keep as many as can be, the largest first.
-    left_out = []
+    # Not all of them fit together: keep as many as possible, the largest first.
+    unassigned = []
     for unit in units:
-        room = next((each for each in sharing.order(unit) if each.has_room(unit)), None)
-        if room is None:
-            left_out.append(unit)
+        cell = next((each for each in search.order(unit) if each.fits(unit)), None)
+        if cell is None:
+            unassigned.append(unit)
         else:
-            room.units.append(unit)
-    return left_out
+            cell.units.append(unit)
+    return unassigned
 
 
-class _Sharing:
+class _AssignmentSearch:
     """Depth-first search over units, each of which goes to one cell."""
 
-    def __init__(self, rooms: Sequence[_CellRoom], units: Sequence[_Unit]) -> None:
-        self.rooms = rooms
+    def __init__(self, cells: Sequence[_CellUnits], units: Sequence[_Unit]) -> None:
+        self.cells = cells
         self.units = units
         self.steps = ASSIGN_STEP_LIMIT
 
@@ -285,32 +283,36 @@
         if level == len(self.units):
             return True
         unit = self.units[level]
-        if sum(room.left for room in self.rooms) < unit.shape.accelerators:
+        if sum(cell.left for cell in self.cells) < unit.shape.accelerators:
             return False
-        for room in self.order(unit):
+        for cell in self.order(unit):
             self.steps -= 1
             if self.steps < 0:
                 return False
-            if not room.has_room(unit):
+            if not cell.fits(unit):
                 continue
-            room.units.append(unit)
+            cell.units.append(unit)
             if self.descend(level + 1):
                 return True
-            room.units.pop()
+            cell.units.pop()
         return False
 
-    def order(self, unit: _Unit) -> list[_CellRoom]:
-        """Order the cells: where the organisation has least, then the emptiest."""
+    def order(self, unit: _Unit) -> list[_CellUnits]:
+        """Order the cells for a unit.
+
+        First those of the failure domain where the organisation has least, then the
+        cells with the most accelerators left.
+        """
         held: dict[str, int] = {}
-        for room in self.rooms:
+        for cell in self.cells:
             own = sum(
                 each.shape.accelerators
-                for each in room.units
+                for each in cell.units
                 if each.organisation == unit.organisation
             )
-            domain = room.failure_domain
+            domain = cell.failure_domain
             held[domain] = held.get(domain, 0) + own
         return sorted(
-            self.rooms,
-            key=lambda room: (held[room.failure_domain], -room.left, room.name),
+            self.cells,
+            key=lambda cell: (held[cell.failure_domain], -cell.left, cell.name),
         )
--- a/src/primrosestile/decisions/nearness.py
+++ b/src/primrosestile/decisions/nearness.py
@@ -1,11 +1,11 @@
-"""Who is near whom: processes and cells of one region.
-
-Made for 8 regions that lose one another for minutes. If entries and placers of all
-regions spoke to one another each second, the messages would grow with the square
-of the VMs, and a cut between two regions would leave cells owned from the far side
-of it. So a cell is owned from its own region if a placer lives there, an entry
-speaks to the placers of its region, and a far one steps in only where there is no
-near one. With one region, as today, everybody is near.
+"""Locality: prefers placers and targets of the own region.
+
+Designed for 8 regions that lose the connections between them for minutes. If entries
+and placers of all regions exchanged messages each second, traffic would grow with the
+square of the VMs, and a partition between two regions would leave cells owned from its
+far side. So a cell is owned from its own region if a placer runs there, an entry
+contacts the placers of its region, and remote ones are used only where there is no
+local one. With one region, everything is local.
 """
 
 from collections.abc import Iterable
@@ -19,16 +19,17 @@
 def rank_placers(
     cell: str, placers: Iterable[ProcessRecord], view: SettingsView
 ) -> list[str]:
-    """Return the names of placers in the order in which they try for a cell.
+    """Return the names of placers in the order in which they try to own a cell.
 
-    Near ones first; among them by a hash of both names, so that cells spread
-    evenly and the loss of one placer moves only its own cells.
+    Local ones come first; among them the order is a hash of both names (rendezvous
+    hashing), so that cells spread evenly and the loss of one placer moves only its own
+    cells.
     """
     region = view.region_of.get(view.domain_of.get(cell, ""), "")
 
     def weigh(placer: ProcessRecord) -> tuple[bool, int]:
-        near = view.region_of.get(placer.failure_domain, "") == region
-        return near, xxhash.xxh64_intdigest(f"{cell}\0{placer.name}".encode())
+        local = view.region_of.get(placer.failure_domain, "") == region
+        return local, xxhash.xxh64_intdigest(f"{cell}\0{placer.name}".encode())
 
     ordered = sorted(placers, key=weigh, reverse=True)
     return [placer.name for placer in ordered]
@@ -37,26 +38,27 @@
 def choose_near(
     failure_domain: str, placers: Iterable[ProcessRecord], view: SettingsView
 ) -> list[ProcessRecord]:
-    """Return the placers of one's own region; all of them where it has none."""
+    """Return the placers of the own region; all placers if it has none."""
     found = list(placers)
     region = view.region_of.get(failure_domain, "")
-    near = [
+    local = [
         each for each in found if view.region_of.get(each.failure_domain, "") == region
     ]
-    return near or found
+    return local or found
 
 
 def choose_near_targets(failure_domain: str, view: SettingsView) -> dict[str, int]:
-    """Return the slots of the workers of one's own region; all where it has none.
+    """Return the slots of the own region's workers; those of all if it has none.
 
-    A short request whose caller waits is answered near; the ways between regions
-    take longer than most quotes, and a cut would leave it without an answer.
+    A short request whose caller waits is answered locally: the latency between regions
+    exceeds the time that most quotes take, and during a partition there would be no
+    answer.
     """
     region = view.region_of.get(failure_domain, "")
-    near = {
+    local = {
         worker.name: worker.slots
         for cell, workers in view.workers_in.items()
         if view.region_of.get(view.domain_of[cell], "") == region
         for worker in workers
     }
-    return near or view.slots
+    return local or view.slots
--- a/src/primrosestile/decisions/overdue.py
+++ b/src/primrosestile/decisions/overdue.py
@@ -1,29 +1,29 @@
-"""Requests that run far longer than their class: a sign before the answer.
+"""Detection of stragglers: attempts that run far longer than their class.
 
-A target that has become ten times slower tells so only when its first answers
-come, and one that hangs never does. Until then each free slot of it takes one
-more request. So the age of what is still running counts as well.
+A target that has become ten times slower shows it only in its first answers, and one
+that hangs never answers. Until then each of its free slots gets one more request. So
+the age of attempts still running counts as well.
 """
 
 import heapq
 from dataclasses import dataclass
 
-# An attempt is remarkable once it has run four times as long as nine in ten of
-# its class. Where run times vary as much as their mean, one in ten thousand does.
+# An attempt is a straggler once it has run four times as long as the 0.9 quantile of
+# its class. With run times that vary as much as their mean, one in ten thousand is.
 OVERDUE_QUANTILE = 0.9
 OVERDUE_FACTOR = 4.0
-# The loop's clock moves in steps, and a target may answer within one. An attempt
-# without an age would be due again at once, for ever, and the entry would stop.
-LEAST_AGE_SECONDS = 0.05
+# The loop's clock moves in steps, and a target may answer within one. An attempt of age
+# 0 would be due again at once, for ever, and block the entry.
+MIN_AGE_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """One attempt under way.
+    """One attempt in progress.
 
     Attributes:
-        expected: Seconds that its class takes on average.
-        remarkable: Seconds after which its age says something about the target.
+        expected: Mean run time of its class in seconds.
+        straggler_after: Age in seconds from which it counts as a straggler.
     """
 
     target: str
@@ -34,7 +34,7 @@
 
 
 class OverdueWatch:
-    """Attempts under way, by the time at which they become remarkable."""
+    """Attempts in progress, by the time at which they become stragglers."""
 
     def __init__(self) -> None:
         self._running: dict[tuple[str, str], Running] = {}
@@ -48,7 +48,7 @@
         self._watch(running, running.remarkable)
 
     def finish(self, target: str, request_id: str) -> bool:
-        """Watch it no longer; return whether it had become remarkable."""
+        """Stop watching an attempt; return whether it had become a straggler."""
         key = (target, request_id)
         self._running.pop(key, None)
         found = key in self._found
@@ -56,7 +56,7 @@
         return found
 
     def collect(self, now: float) -> list[Running]:
-        """Return those that have become remarkable, again at each doubled age."""
+        """Return new stragglers, and known ones again at each doubled age."""
         found = []
         while self._due and self._due[0][0] <= now:
             _, _, running = heapq.heappop(self._due)
@@ -69,5 +69,5 @@
 
     def _watch(self, running: Running, age: float) -> None:
         self._sequence += 1
-        due = running.started_at + max(age, LEAST_AGE_SECONDS)
+        due = running.started_at + max(age, MIN_AGE_SECONDS)
         heapq.heappush(self._due, (due, self._sequence, running))
--- a/src/primrosestile/decisions/placement.py
+++ b/src/primrosestile/decisions/placement.py
@@ -1,14 +1,14 @@
-"""Where a gang goes: a place, a place to be reclaimed, a wait, or never.
+"""Decision about one gang job: place, reclaim a place, wait, or refuse.
 
-Made for a cell of up to 1,024 workers that is full most of the time. The harm it
-prevents is a guarantee that exists in number only: before work that cannot be
-stopped is given a place, every promise of the cell must still have a room.
+Designed for a cell of up to 1,024 workers that is full most of the time. A guarantee
+must be available in shape, not only in number: before a non-preemptible job is placed,
+every guaranteed shape of the cell must still have an allocation.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from primrosestile.decisions.backfill import list_open, order_demands
+from primrosestile.decisions.backfill import list_startable, order_demands
 from primrosestile.decisions.cell import CellView, Demand
 from primrosestile.decisions.cell_charges import Pinned
 from primrosestile.decisions.placement_rooms import (
@@ -20,9 +20,9 @@
 )
 from primrosestile.decisions.placement_score import make_price
 from primrosestile.decisions.reclaim import (
+    FULL_SEARCH_LIMIT,
     PLACE_LIMIT,
-    THOROUGH_LIMIT,
-    Opening,
+    VictimSelector,
     is_entitled,
     list_tiers,
 )
@@ -39,14 +39,14 @@
     "order_demands",
 ]
 
-# Seconds until a waiting job is worth looking at again when nothing changed.
-# Releases wake the queue at once; this only bounds a missed wake-up.
+# Seconds until a waiting job is decided about again when nothing has changed. A release
+# triggers a new pass at once; this only bounds the delay after a missed trigger.
 RETRY_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """Start it there; all of it is free."""
+    """The job starts on these members; all of them are free."""
 
     members: tuple[Member, ...]
     reason: ReasonCode
@@ -55,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reclaim:
-    """Stop the victims, in this order, then start it there.
+    """The victims are stopped, in this order; then the job starts on these members.
 
     Attributes:
-        victims: Job ids; each may be stopped and run again.
-        members: Free accelerators and the victims'.
+        victims: Ids of preemptible jobs.
+        members: Free accelerators and accelerators of the victims.
     """
 
     victims: tuple[str, ...]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Waits:
-    """No place now.
+    """The job has no place now.
 
     Attributes:
         retry_after: Seconds.
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NeverFits:
-    """The cell could not hold it even when empty."""
+    """The job would not fit into the empty cell."""
 
     detail: str
 
@@ -100,15 +100,17 @@
     Args:
         view: The cell; it is not changed.
         demand: The job.
-        policy: How completion time and fragmentation weigh.
+        policy: Weights of completion time and fragmentation.
         now: Seconds, on the clock of the holdings.
     """
     if not fits_empty(view, demand.shape):
-        return NeverFits(f"{_word(demand)} is more than the empty cell can hold")
+        return NeverFits(
+            f"{_describe_shape(demand)} is more than the empty cell can hold"
+        )
     entitled = is_entitled(view, demand)
-    options = view.rooms.list_charges(demand.organisation, demand.shape)
-    # To take back the room of the very shape goes before breaking into a larger
-    # unit of the same organisation, which it may ask for next.
+    options = view.allocations.list_charges(demand.organisation, demand.shape)
+    # Reclaiming the allocation of a unit of this shape is preferred to using part of a
+    # larger unit, which the same organisation may need next.
     for units in (options.preferred, options.every):
         place = _find_free(view, demand, policy, now, units)
         if place is not None:
@@ -118,7 +120,7 @@
             return reclaim
         if not options.others:
             break
-    return _wait(view, demand, entitled)
+    return _make_waits(view, demand, entitled)
 
 
 def _make_placed(
@@ -127,63 +129,63 @@
     reason = ReasonCode.PLACED_BORROWING
     if entitled:
         reason = ReasonCode.PLACED_IN_GUARANTEE
-    return Placed(make_members(view, place), reason, _word(demand))
+    return Placed(make_members(view, place), reason, _describe_shape(demand))
 
 
 def _find_free(
     view: CellView, demand: Demand, policy: Policy, now: float, units: Units
 ) -> Place | None:
-    """Find the free place that leaves the cell in the best state.
+    """Find the cheapest free place that keeps all guarantees.
 
-    Made for a cell in which small and large work comes and goes all day. The
-    harm it prevents is free capacity in crumbs, which no render can use. Only
-    the best few places are examined, see `PLACE_LIMIT`.
+    With small and large jobs arriving all day, a poor choice scatters the free
+    accelerators until no large job fits. Only the cheapest few places are examined, see
+    `PLACE_LIMIT`.
     """
-    free = list_open(view, demand, now)
+    free = list_startable(view, demand, now)
     price = make_price(view, demand, policy)
     places = list_places(view.layout, free, demand.shape, price, PLACE_LIMIT)
     if demand.evictable:
         return places[0][1] if places else None
-    place = _find_keeping(view, demand, places, units)
+    place = _find_feasible(view, demand, places, units)
     if place is not None:
         return place
-    return _find_in_own_rooms(view, demand, free, units)
+    return _find_in_own_allocations(view, demand, free, units)
 
 
-def _find_keeping(
+def _find_feasible(
     view: CellView,
     demand: Demand,
     places: Sequence[tuple[float, Place]],
     units: Units,
 ) -> Place | None:
-    """Find the first place with which every promise still has a room.
+    """Find the first place with which every guaranteed shape keeps an allocation.
 
-    Counted as if the job could not be stopped there.
+    The job is treated as non-preemptible.
     """
     for rank, (_, place) in enumerate(places):
         work = Pinned(demand.organisation, demand.shape, place)
-        thorough = rank < THOROUGH_LIMIT
-        if view.rooms.find_charge(work, units, thorough) is not None:
+        full_search = rank < FULL_SEARCH_LIMIT
+        if view.allocations.find_charge(work, units, full_search) is not None:
             return place
     return None
 
 
-def _find_in_own_rooms(
+def _find_in_own_allocations(
     view: CellView, demand: Demand, counts: Sequence[int], units: Units
 ) -> Place | None:
-    """Find a place inside the room of one of the organisation's own units."""
-    rooms = view.rooms.read()
-    # While a worker is away, rooms lie elsewhere than they will on its return:
-    # what cannot be stopped could be in the way of another promise by then.
-    must_check = bool(view.rooms.lost) and not demand.evictable
+    """Find a place inside the allocation of one of the organisation's own units."""
+    allocations = view.allocations.read()
+    # While a worker is unusable, allocations lie elsewhere than after its return: a
+    # non-preemptible job could then block another guarantee.
+    must_check = bool(view.allocations.lost) and not demand.evictable
     for unit in units:
         if unit is None:
             continue
         inside = [0] * len(counts)
-        for worker, count in rooms[unit].items():
+        for worker, count in allocations[unit].items():
             inside[worker] = min(count, counts[worker])
         places = list_places(view.layout, inside, demand.shape, lambda *_: 0.0, 1)
-        if places and (not must_check or _find_keeping(view, demand, places, units)):
+        if places and (not must_check or _find_feasible(view, demand, places, units)):
             return places[0][1]
     return None
 
@@ -191,56 +193,63 @@
 def _find_reclaim(
     view: CellView, demand: Demand, entitled: bool, now: float, units: Units
 ) -> Reclaim | None:
-    """Find the place whose opening loses the least work.
+    """Find the place whose reclaim loses the least work.
 
-    Made for a cell that is lent out to the last accelerator. The harm it
-    prevents is an organisation that waits for what it was promised: it gets
-    this answer at once, and only the stopping takes time.
+    Even in a cell that is lent out completely, an organisation gets this answer for its
+    guarantee at once; only stopping the victims takes time.
     """
     before: frozenset[str] | None = None
     for tier in list_tiers(view, demand, entitled):
-        if tier.victims == before and not tier.in_own_rooms:
+        if tier.victims == before and not tier.in_own_allocations:
             continue
         before = tier.victims
-        opening = Opening(view, tier.victims, now)
-        if sum(opening.counts) < demand.shape.accelerators:
+        selector = VictimSelector(view, tier.victims, now)
+        if sum(selector.counts) < demand.shape.accelerators:
             continue
         place = None
-        # Also a job that may be stopped must keep the promises here: until it is
-        # there, nobody can stop it.
-        if not tier.in_own_rooms:
-            places = opening.list_places(demand, PLACE_LIMIT)
-            place = _find_keeping(view, demand, places, units)
+        # A preemptible job must keep the guarantees here too: until its place is free
+        # it cannot be stopped.
+        if not tier.in_own_allocations:
+            places = selector.list_places(demand, PLACE_LIMIT)
+            place = _find_feasible(view, demand, places, units)
         if place is None:
-            place = _find_in_own_rooms(view, demand, opening.counts, units)
+            place = _find_in_own_allocations(view, demand, selector.counts, units)
         if place is not None:
-            return _make_reclaim(view, demand, entitled, opening, place)
+            return _make_reclaim(view, demand, entitled, selector, place)
     return None
 
 
 def _make_reclaim(
-    view: CellView, demand: Demand, entitled: bool, opening: Opening, place: Place
+    view: CellView,
+    demand: Demand,
+    entitled: bool,
+    selector: VictimSelector,
+    place: Place,
 ) -> Reclaim:
-    victims = opening.choose_victims(place)
+    victims = selector.choose_victims(place)
     members = make_members(view, place, victims)
     reason = ReasonCode.PLACED_IN_GUARANTEE if entitled else ReasonCode.PLACED
-    lost = opening.measure_lost(victims)
-    detail = f"{_word(demand)} in place of {len(victims)} job(s)"
+    lost = selector.measure_lost(victims)
+    detail = f"{_describe_shape(demand)} in place of {len(victims)} job(s)"
     detail += f" that lose {lost:.0f} accelerator seconds"
     return Reclaim(victims, members, reason, detail)
 
 
-def _wait(view: CellView, demand: Demand, entitled: bool) -> Waits:
+def _make_waits(view: CellView, demand: Demand, entitled: bool) -> Waits:
     free = list_free(view)
-    detail = f"{_word(demand)} finds no place among {sum(free)} free accelerators"
-    if view.rooms.lost and not demand.evictable:
-        detail += "; promised shapes of this cell lack room until workers return"
+    detail = (
+        f"{_describe_shape(demand)} finds no place among {sum(free)} free accelerators"
+    )
+    if view.allocations.lost and not demand.evictable:
+        detail += "; guaranteed shapes of this cell do not fit until workers return"
         return Waits(ReasonCode.WAITS_FOR_GUARANTEE, detail, RETRY_SECONDS)
     fits = list_places(view.layout, free, demand.shape, lambda *_: 0.0, 1)
     if fits and view.reservation is not None and demand.evictable:
         detail += f"; they are reserved for {view.reservation.job_id}"
     elif fits:
-        detail += "; it cannot be stopped, and what is free is promised to others"
+        detail += (
+            "; it cannot be stopped, and the free accelerators are guaranteed to others"
+        )
         return Waits(ReasonCode.WAITS_FOR_GUARANTEE, detail, RETRY_SECONDS)
     elif entitled:
         detail += "; its guarantee is in use by work that cannot be stopped"
@@ -249,6 +258,6 @@
     return Waits(ReasonCode.WAITS_FOR_ROOM, detail, RETRY_SECONDS)
 
 
-def _word(demand: Demand) -> str:
+def _describe_shape(demand: Demand) -> str:
     shape = demand.shape
     return f"{shape.accelerators} accelerators ({shape.adjacency.value})"
--- a/src/primrosestile/decisions/placement_queue.py
+++ b/src/primrosestile/decisions/placement_queue.py
@@ -1,9 +1,9 @@
 """One pass over the waiting jobs of a cell.
 
-Made for a cell that is asked for three times what it has, where thousands wait
-and almost none can start. Deciding about each of them anew at every release
-would hold the cell up for seconds. Within one pass a start only ever takes room
-away, so once a job has found no place, no job like it can find one either.
+With demand at three times the capacity, thousands of jobs wait and almost none can
+start; deciding about each of them at every release would block the cell for seconds.
+Within one pass a start only reduces the free capacity, so once a job has found no
+place, no equivalent job can find one either.
 """
 
 from collections.abc import Iterable, Iterator
@@ -18,17 +18,17 @@
 ) -> Iterator[tuple[Demand, Decision]]:
     """Yield the decisions of one pass, in order.
 
-    The caller must note each decision in the view (`hold`, `begin_reclaim`)
-    before it asks for the next one.
+    The caller must record each decision in the view (`hold`, `begin_reclaim`) before it
+    asks for the next one.
 
     Args:
         view: The cell.
         ordered: The waiting jobs, as `order_demands` returns them.
-        policy: How completion time and fragmentation weigh.
+        policy: Weights of completion time and fragmentation.
         now: Seconds, on the clock of the holdings.
 
     Yields:
-        Each job with its decision. A job like one that already waits in this
+        Each job with its decision. A job equivalent to one that already waits in this
         pass gets the same `Waits`.
     """
     waits: dict[tuple[str, Shape, Urgency, bool, bool], Waits] = {}
--- a/src/primrosestile/decisions/placement_rooms.py
+++ b/src/primrosestile/decisions/placement_rooms.py
@@ -1,8 +1,8 @@
-"""Where a shape could go, given how many accelerators each worker could give.
+"""Candidate places for a shape, given the accelerators obtainable on each worker.
 
-One enumeration serves every purpose: with the free accelerators it lists places
-for a start, with free and reclaimable ones it lists what reclaiming could open.
-The caller says what a place costs; the cheapest come first.
+The same enumeration serves placement and reclaim: with the free accelerators it lists
+places for a start, with free and reclaimable ones the places that a reclaim could free.
+The caller supplies the cost function; the cheapest places come first.
 """
 
 from collections.abc import Callable, Sequence
@@ -23,10 +23,10 @@
 
     Args:
         layout: The cell; unusable workers have no capacity.
-        counts: By worker index, the accelerators that could be had.
-        shape: What must fit.
+        counts: Obtainable accelerators by worker index.
+        shape: The shape to place.
         cost: Cost of taking a number of accelerators of a worker.
-        limit: Most places to return.
+        limit: Maximum number of places to return.
     """
     if shape.adjacency is Adjacency.WORKER:
         places = _list_on_workers(counts, shape.accelerators, cost)
@@ -69,7 +69,7 @@
     accelerators: int,
     cost: Cost,
 ) -> Place | None:
-    """Take whole workers, the cheapest first, and one remainder."""
+    """Take whole workers, the largest and cheapest first, and at most one in part."""
     capacity = layout.capacity
     whole = [
         worker
@@ -103,7 +103,8 @@
 ) -> list[tuple[float, Place]]:
     if sum(counts) < accelerators:
         return []
-    # What others can use least is taken first: parts of workers, then whole ones.
+    # Cheapest accelerators first; at equal cost partly free workers before whole ones,
+    # which more shapes can use.
     order = [worker for worker, count in enumerate(counts) if count > 0]
     order.sort(
         key=lambda each: (
@@ -126,17 +127,17 @@
 
 
 def fits_empty(view: CellView, shape: Shape) -> bool:
-    """Whether the cell could hold a shape with all workers usable and empty."""
-    if shape not in view.known_fits:
+    """Whether a shape fits when all workers are usable and empty."""
+    if shape not in view.cached_fits:
         capacity = tuple(view.capacity)
         layout = Layout(capacity, view.layout.rack, view.layout.racks)
         places = list_places(layout, capacity, shape, lambda *_: 0.0, 1)
-        view.known_fits[shape] = bool(places)
-    return view.known_fits[shape]
+        view.cached_fits[shape] = bool(places)
+    return view.cached_fits[shape]
 
 
 def list_free(view: CellView) -> list[int]:
-    """Return free accelerators by worker index; none on unusable workers."""
+    """Return free accelerators by worker index, 0 for unusable workers."""
     return [
         count if usable else 0
         for count, usable in zip(view.free_counts, view.usable, strict=True)
@@ -172,7 +173,7 @@
         if layout.capacity[worker] and free[worker] == layout.capacity[worker]
     ]
     hosting = sum(free[worker] for worker in whole)
-    # A worker that is free in part can only be the remainder of a place.
+    # A partly free worker can only be the remainder of a place.
     remainder = size
     for worker in sorted(whole, key=lambda each: -free[each]):
         if remainder >= free[worker]:
@@ -189,15 +190,15 @@
 def make_members(
     view: CellView, place: Place, victims: Sequence[str] = ()
 ) -> tuple[Member, ...]:
-    """Name the accelerators of a place: free ones first, then the victims'."""
-    opened: dict[int, int] = {}
+    """Choose the accelerators of a place: free ones first, then the victims'."""
+    freed: dict[int, int] = {}
     for job_id in victims:
-        for worker, bits in view.read_unclaimed(job_id).items():
-            opened[worker] = opened.get(worker, 0) | bits
+        for worker, bits in view.read_uncommitted(job_id).items():
+            freed[worker] = freed.get(worker, 0) | bits
     members = []
     for worker in sorted(place):
         free = _list_numbers(view.free_bits[worker])
-        numbers = (free + _list_numbers(opened.get(worker, 0)))[: place[worker]]
+        numbers = (free + _list_numbers(freed.get(worker, 0)))[: place[worker]]
         members.append(Member(view.workers[worker].name, tuple(sorted(numbers))))
     return tuple(members)
 
--- a/src/primrosestile/decisions/reclaim.py
+++ b/src/primrosestile/decisions/reclaim.py
@@ -1,8 +1,8 @@
-"""Whose work is stopped so that a guaranteed or urgent job can start.
+"""Choice of the victims that are stopped for a guaranteed or urgent job.
 
-Idle guaranteed capacity is lent to anybody's work that can be stopped. It is
-worth lending only if it comes back at once, and lending must cost the borrower
-as little as possible; so the victims are those who lose the least work.
+Idle guaranteed capacity is lent to preemptible work of anybody. It must come back at
+once and at the least cost for the borrower, so the victims are those that lose the
+least work.
 """
 
 from collections.abc import Iterable, Iterator
@@ -12,34 +12,35 @@
 from primrosestile.decisions.placement_rooms import Place, list_free, list_places
 from primrosestile.state.tenancy import Urgency
 
-# Seconds that saving progress takes, during which the accelerators do no work.
+# Seconds that a checkpoint takes, during which the accelerators do no work.
 CHECKPOINT_SECONDS = 2.0
 
-# A victim that saves its progress before it is stopped loses the time that
-# saving takes, and, where saving fails, all since its latest checkpoint. One
-# failure in ten is assumed: enough to prefer the victim that has saved lately.
+# A victim that checkpoints before it is stopped loses the time of the checkpoint and,
+# where that fails, all work since the previous one. One failure in ten is assumed:
+# enough to prefer the victim with the more recent checkpoint.
 CHECKPOINT_FAILURE_SHARE = 0.1
 
-# Cost of starting a stopped job again, in seconds for each of its accelerators.
-# It keeps the choice from stopping many small young jobs in place of one.
+# Cost of restarting a stopped job, in seconds for each of its accelerators. Without it
+# many small young jobs would be chosen in place of one.
 RESTART_SECONDS = 5.0
 
-# Seconds in which a job is still starting, and what stopping it then is taken to
-# cost beside. It has lost least work of all, so it would be the first choice; but
-# a start has to end before a stop can begin, and in a cell where something always
-# starts, urgent work would wait behind one start after the other.
+# Seconds for which a job counts as still starting, and the added cost of stopping it
+# then. It has lost least work of all and would be the first choice; but a stop can only
+# begin when the start has ended, and in a cell where something always starts, urgent
+# work would wait for one start after the other.
 STARTING_SECONDS = 3.0
 STARTING_COST_SECONDS = 300.0
 
-# Most places whose effect on the promises is examined for one decision; the
-# rooms of the organisation's own units come on top and always hold. Each look
-# can cost a search for rooms: without a limit a full cell of 1,024 workers would
-# hold up its other decisions past the 5.8 s in which urgent work starts.
+# Maximum number of places whose effect on the guarantees is examined for one decision;
+# the allocations of the organisation's own units are examined in addition and need no
+# search while no unit is lost. Each check can need a search for allocations: without a
+# limit a full cell of 1,024 workers would delay its other decisions past the 5.8 s in
+# which urgent work starts.
 PLACE_LIMIT = 6
 
-# How many of these may search all rooms anew. Where that fails for the best two,
+# How many of these may search all allocations again. Where that fails for the best two,
 # it seldom succeeds for the rest, and each costs most of a millisecond.
-THOROUGH_LIMIT = 2
+FULL_SEARCH_LIMIT = 2
 
 
 def measure_lost_work(holding: Holding, now: float) -> float:
@@ -58,10 +59,10 @@
 
 
 def is_entitled(view: CellView, demand: Demand) -> bool:
-    """Whether a job lies within what its organisation is promised in this cell.
+    """Whether a job is within its organisation's guarantee in this cell.
 
-    An urgent job does not count its organisation's own patient work that can be
-    stopped: the organisation may use its guarantee for what is urgent now.
+    For an urgent job, its organisation's own preemptible patient work does not count:
+    the organisation may use its guarantee for urgent work first.
     """
     promised = view.count_promised(demand.organisation)
     if demand.shape.accelerators > promised:
@@ -80,24 +81,24 @@
     """Jobs that may be stopped for a demand.
 
     Attributes:
-        in_own_rooms: Whether only the rooms of the organisation's own units may
-            be opened.
+        in_own_allocations: Whether only the allocations of the organisation's own units
+            may be reclaimed.
     """
 
     victims: frozenset[str]
-    in_own_rooms: bool = False
+    in_own_allocations: bool = False
 
 
 def list_tiers(view: CellView, demand: Demand, entitled: bool) -> Iterator[Tier]:
-    """Yield what may be stopped for a demand, the mildest first.
-
-    Patient borrowers come first. Within a guarantee all borrowers follow, then
-    everything that can be stopped, but only in the organisation's own rooms: a
-    promise is a promise even when other organisations' guaranteed work sits
-    across its only room. That work has a room of its own and goes there next;
-    were it stopped elsewhere too, two organisations could stop one another's
-    work in turn for ever. Beyond a guarantee only urgent work stops anything,
-    and only its own organisation's patient work and patient borrowers.
+    """Yield the jobs that may be stopped for a demand, the mildest tier first.
+
+    Patient borrowers come first. Within a guarantee all borrowers follow, then all
+    preemptible work, but only in the organisation's own allocations: the guarantee
+    holds even if guaranteed work of other organisations occupies its only allocation.
+    That work has an allocation of its own and moves there; if it could be stopped
+    elsewhere too, two organisations could preempt each other in turn for ever. Beyond a
+    guarantee only urgent work preempts, and only its own organisation's patient work
+    and patient borrowers.
     """
     urgent = demand.urgency is Urgency.URGENT
     if not entitled and not urgent:
@@ -109,34 +110,34 @@
         if each.evictable and job_id not in view.stopping
     ]
     patient = [each for each in evictable if each.urgency is Urgency.PATIENT]
-    mild = {
+    allowed = {
         each.job_id
         for each in patient
         if (urgent or each.organisation != own) and _borrows(view, each)
     }
-    yield Tier(frozenset(mild))
+    yield Tier(frozenset(allowed))
     if urgent:
-        mild |= {each.job_id for each in patient if each.organisation == own}
-        yield Tier(frozenset(mild))
+        allowed |= {each.job_id for each in patient if each.organisation == own}
+        yield Tier(frozenset(allowed))
     if not entitled:
         return
-    mild |= {
+    allowed |= {
         each.job_id
         for each in evictable
         if each.organisation != own and _borrows(view, each)
     }
-    yield Tier(frozenset(mild))
-    mild |= {each.job_id for each in evictable if each.organisation != own}
-    yield Tier(frozenset(mild), in_own_rooms=True)
-    yield Tier(frozenset(each.job_id for each in evictable), in_own_rooms=True)
+    yield Tier(frozenset(allowed))
+    allowed |= {each.job_id for each in evictable if each.organisation != own}
+    yield Tier(frozenset(allowed), in_own_allocations=True)
+    yield Tier(frozenset(each.job_id for each in evictable), in_own_allocations=True)
 
 
 def _borrows(view: CellView, holding: Holding) -> bool:
     return holding.job_id in view.find_borrowers(holding.organisation)
 
 
-class Opening:
-    """What stopping a set of jobs could open, and at what cost."""
+class VictimSelector:
+    """Accelerators that stopping a set of jobs could free, and the cost."""
 
     def __init__(self, view: CellView, allowed: frozenset[str], now: float) -> None:
         self._view = view
@@ -147,10 +148,10 @@
             {job_id: count for job_id, count in jobs.items() if job_id in allowed}
             for jobs in view.jobs_on
         ]
-        # What is being stopped anyway may give more than its reclaim needs.
+        # A job that is being stopped anyway may free more than its reclaim needs.
         for job_id in view.stopping:
             self._costs[job_id] = 0.0
-            for worker, bits in view.read_unclaimed(job_id).items():
+            for worker, bits in view.read_uncommitted(job_id).items():
                 self._held[worker][job_id] = bits.bit_count()
         self.counts = [
             free + sum(jobs.values()) if usable else 0
@@ -158,15 +159,15 @@
                 self._free, self._held, view.usable, strict=True
             )
         ]
-        self._known: dict[tuple[int, int], float] = {}
+        self._cached_prices: dict[tuple[int, int], float] = {}
 
     def price(self, worker: int, count: int) -> float:
-        """Return the lost work of opening some accelerators of one worker."""
+        """Return the work lost by freeing some accelerators of one worker."""
         key = (worker, count)
-        if key not in self._known:
+        if key not in self._cached_prices:
             victims = self._choose_on(worker, count, set())
-            self._known[key] = sum(self._measure(job_id) for job_id in victims)
-        return self._known[key]
+            self._cached_prices[key] = sum(self._measure(job_id) for job_id in victims)
+        return self._cached_prices[key]
 
     def list_places(self, demand: Demand, limit: int) -> list[tuple[float, Place]]:
         """List places for a demand, those with the least lost work first."""
@@ -179,15 +180,15 @@
         for worker, count in sorted(place.items()):
             chosen |= self._choose_on(worker, count, chosen)
         for job_id in sorted(chosen, key=lambda each: (-self._measure(each), each)):
-            if self._opens(place, chosen - {job_id}):
+            if self._frees_enough(place, chosen - {job_id}):
                 chosen.discard(job_id)
         return tuple(sorted(chosen, key=lambda each: (self._measure(each), each)))
 
     def measure_lost(self, victims: Iterable[str]) -> float:
-        """Return the lost work of stopping these, in accelerator seconds."""
+        """Return the work lost by stopping the victims, in accelerator seconds."""
         return sum(self._measure(job_id) for job_id in victims)
 
-    def _opens(self, place: Place, chosen: set[str]) -> bool:
+    def _frees_enough(self, place: Place, chosen: set[str]) -> bool:
         return all(
             self._free[worker] + self._count(worker, chosen) >= count
             for worker, count in place.items()
