--- a/features/steps/placement_decisions_steps.py
+++ b/features/steps/placement_decisions_steps.py
@@ -86,15 +86,15 @@
 
 @given(
     "a placement cell of 1 rack with {workers:d} workers that "
-    'promises {count:d} to "{name}"'
+    'guarantees {count:d} to "{name}"'
 )
 def make_cell(context: Any, workers: int, count: int, name: str) -> None:
     context.workers = [Worker(f"w{index}", "rack", "") for index in range(workers)]
     context.view = CellView(context.workers, [(name, make_shape(count))])
 
 
-@given('the placement cell also promises {count:d} to "{name}"')
-def promise_also(context: Any, count: int, name: str) -> None:
+@given('the placement cell also guarantees {count:d} to "{name}"')
+def guarantee_also(context: Any, count: int, name: str) -> None:
     promised = (*context.view.promised, (name, make_shape(count)))
     context.view = CellView(context.workers, promised)
 
@@ -108,21 +108,22 @@
     '"guest" runs "{job_id}" on {count:d} accelerators since '
     "{since:d} without checkpoints"
 )
-def run_plain(context: Any, job_id: str, count: int, since: int) -> None:
+def run_without_checkpoints(context: Any, job_id: str, count: int, since: int) -> None:
     hold_on_next_worker(context, job_id, count, since=float(since))
 
 
 @when(
     '"guest" runs "{job_id}" on {count:d} accelerators since {since:d} with checkpoints'
 )
-def run_saving(context: Any, job_id: str, count: int, since: int) -> None:
+def run_with_checkpoints(context: Any, job_id: str, count: int, since: int) -> None:
     hold_on_next_worker(context, job_id, count, since=float(since), checkpoints=True)
 
 
 @when(
-    '"guest" runs the unstoppable "{job_id}" on {count:d} accelerators since {since:d}'
+    '"guest" runs the non-preemptible "{job_id}" on {count:d} accelerators '
+    "since {since:d}"
 )
-def run_unstoppable(context: Any, job_id: str, count: int, since: int) -> None:
+def run_non_preemptible(context: Any, job_id: str, count: int, since: int) -> None:
     hold_on_next_worker(context, job_id, count, since=float(since), evictable=False)
 
 
@@ -143,8 +144,8 @@
     context.decision = decide_placement(context.view, demand, Policy(), float(now))
 
 
-@when('"{name}" asks for {count:d} unstoppable accelerators at {now:d}')
-def ask_unstoppable(context: Any, name: str, count: int, now: int) -> None:
+@when('"{name}" asks for {count:d} non-preemptible accelerators at {now:d}')
+def ask_non_preemptible(context: Any, name: str, count: int, now: int) -> None:
     demand = make_demand(name, count, float(now), evictable=False)
     context.decision = decide_placement(context.view, demand, Policy(), float(now))
 
@@ -167,14 +168,14 @@
     assert isinstance(context.decision, Waits), context.decision
 
 
-@then("the placement says that it never fits")
+@then("the placement answers that it never fits")
 def check_never_fits(context: Any) -> None:
     assert isinstance(context.decision, NeverFits), context.decision
 
 
-@when('"dome" takes 16 accelerators back at {now:d} from two workers')
-def take_back(context: Any, now: int) -> None:
-    # What runs sits on the first two workers; a third one, if any, is kept busy
+@when('"dome" reclaims 16 accelerators at {now:d} from two workers')
+def reclaim(context: Any, now: int) -> None:
+    # The running jobs are on the first two workers; a third one, if any, is occupied
     # until the place has been chosen.
     view = context.view
     for name, free in view.free.items():
@@ -211,8 +212,8 @@
     context.view.release(job_id)
 
 
-@then("the place that was taken back is open")
-def check_open(context: Any) -> None:
+@then("the reclaimed place is free")
+def check_reclaimed(context: Any) -> None:
     assert context.view.is_opened(context.incoming.job_id)
     context.view.hold(context.incoming)
     assert context.incoming.job_id in context.view.holdings
@@ -293,8 +294,8 @@
     assert sum(len(units) for units in context.after.values()) == total
 
 
-@when('the workload "{workload}" is played at the size of "{deployment}"')
-def play_workload(context: Any, workload: str, deployment: str) -> None:
+@when('the workload "{workload}" runs at the size of "{deployment}"')
+def run_workload(context: Any, workload: str, deployment: str) -> None:
     spec = next(each for each in WORKLOADS if each.name == workload)
     place = next(each for each in make_deployments() if each.name == deployment)
     arrivals = draw_arrivals(place, spec, SEED)
@@ -318,7 +319,7 @@
     }
 
 
-@then("every guaranteed shape that is owed starts within the urgent bound")
+@then("every guaranteed shape that is due starts within the urgent bound")
 def check_guarantees(context: Any) -> None:
     delays = context.outcome.owed_delays
     assert len(delays) > 20
@@ -331,13 +332,13 @@
     assert p99 is not None and p99 <= URGENT_SECONDS, p99
 
 
-@then("no gang ran in part and no promise was out of reach at any step")
+@then("no gang ran in part and every guarantee was reclaimable at every step")
 def check_whole(context: Any) -> None:
     assert context.outcome.gangs_in_part == 0
     assert context.outcome.infeasible_steps == 0
 
 
-@then("every job that was not cancelled came to an end")
+@then("every job that was not cancelled ended")
 def check_ended(context: Any) -> None:
     missing = context.expected - set(context.outcome.completions)
     assert not missing, sorted(missing)[:5]
--- a/features/steps/placement_machine.py
+++ b/features/steps/placement_machine.py
@@ -1,4 +1,4 @@
-"""A stateful fuzz of one tiny cell against brute force."""
+"""Stateful fuzzing of one tiny cell against a brute-force oracle."""
 
 from collections import Counter
 from typing import Any
--- a/features/steps/placement_oracle.py
+++ b/features/steps/placement_oracle.py
@@ -1,4 +1,4 @@
-"""Brute force for tiny cells: tries every assignment, shares no code with rooms."""
+"""Brute-force oracle for tiny cells, independent of the allocation search."""
 
 from collections.abc import Iterator, Sequence
 from itertools import product
@@ -42,7 +42,7 @@
     available: Counts,
     needs: Sequence[tuple[Shape, Counts]],
 ) -> bool:
-    """Whether disjoint rooms exist; a need is a shape and what it must enclose."""
+    """Whether disjoint allocations exist; a need is a shape and what it encloses."""
     if not needs:
         return True
     (shape, charged), *others = needs
@@ -62,7 +62,7 @@
     promised: Sequence[tuple[str, Shape]],
     pinned: Sequence[tuple[str, Counts]],
 ) -> bool:
-    """Whether any charging of the pinned work leaves rooms for all promises."""
+    """Whether some charging of the pinned work keeps an allocation for each unit."""
     available = list(capacity)
     for _, counts in pinned:
         for worker, count in enumerate(counts):
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -21,7 +21,7 @@
     return Shape(chance.randint(1, limit), adjacency)
 
 
-@then("for {count:d} tiny cells the room search agrees with brute force")
+@then("for {count:d} tiny cells the allocation search agrees with brute force")
 def compare_allocations(context: Any, count: int) -> None:
     chance = random.Random(SEED)
     found = 0
@@ -54,17 +54,19 @@
     assert 0.2 * count < found < 0.8 * count, found
 
 
-@then("no fuzzed sequence of placements leaves a promise that brute force cannot keep")
+@then(
+    "no fuzzed sequence of placements leaves a guarantee that brute force cannot keep"
+)
 def fuzz_cell(context: Any) -> None:
     run_state_machine_as_test(CellMachine, settings=SETTINGS)
 
 
-@then("no fuzzed sequence with lost workers ends with a promise lost for good")
+@then("no fuzzed sequence with lost workers ends with a guarantee lost for good")
 def fuzz_losses(context: Any) -> None:
     run_state_machine_as_test(LossMachine, settings=SETTINGS)
 
 
-@then("a rebuilt view of each fuzzed cell keeps the same promises")
+@then("a rebuilt view of each fuzzed cell keeps the same guarantees")
 def fuzz_rebuild(context: Any) -> None:
     run_state_machine_as_test(RebuildMachine, settings=SETTINGS)
 
@@ -108,7 +110,7 @@
 
 
 def can_assemble(fleet: Fleet, shapes: list[Shape], lost: set[str]) -> bool:
-    """Try every way to share the shapes out over the cells."""
+    """Try every assignment of the shapes to the cells."""
     cells = []
     for cell in fleet.cells:
         workers = [each for each in fleet.workers_of(cell) if each.rack not in lost]
@@ -166,7 +168,7 @@
 
 
 def check_assignments(fleet: Fleet, guarantees: Guarantees) -> None:
-    """Every unit is assigned once, and none to a domain that is lost."""
+    """Every unit is assigned once, and none to a lost domain."""
     units = sum(guarantee.count for guarantee in guarantees.guarantees)
     names = [domain.name for domain in fleet.failure_domains]
     for lost in [
--- a/features/steps/placement_tiny_steps.py
+++ b/features/steps/placement_tiny_steps.py
@@ -22,21 +22,21 @@
     context.tiny_asked = 0
 
 
-def read_promise(text: str) -> tuple[str, Shape]:
+def read_guarantee(text: str) -> tuple[str, Shape]:
     owner, count, adjacency = text.split()
     return owner, Shape(int(count), Adjacency(adjacency))
 
 
-@given('the tiny cell promises "{promises}"')
-def promise_tiny(context: Any, promises: str) -> None:
-    promised = [read_promise(each) for each in promises.split(", ")]
+@given('the tiny cell guarantees "{guarantees}"')
+def guarantee_tiny(context: Any, guarantees: str) -> None:
+    promised = [read_guarantee(each) for each in guarantees.split(", ")]
     context.tiny = CellView(context.tiny_workers, promised)
 
 
 @when('the tiny cell is asked for "{shape}, {kind}"')
 def ask_tiny(context: Any, shape: str, kind: str) -> None:
-    """Ask as urgent work, and do what the decision says; victims are not done yet."""
-    owner, wanted = read_promise(shape)
+    """Ask as urgent work and apply the decision; victims have not stopped yet."""
+    owner, wanted = read_guarantee(shape)
     context.tiny_asked += 1
     now = 10.0 * context.tiny_asked
     fields: dict[str, Any] = {
@@ -45,7 +45,7 @@
         "team": "team",
         "shape": wanted,
         "urgency": Urgency.URGENT,
-        "evictable": kind == "evictable",
+        "evictable": kind == "preemptible",
         "checkpoints": False,
     }
     demand = Demand(job_class="c", accepted_at=now, declared_seconds=10.0, **fields)
@@ -62,21 +62,21 @@
         context.tiny.begin_reclaim(holding, decision.victims)
 
 
-@when("worker {worker:d} of the tiny cell is away")
-def take_tiny_worker(context: Any, worker: int) -> None:
+@when("worker {worker:d} of the tiny cell is lost")
+def lose_tiny_worker(context: Any, worker: int) -> None:
     context.tiny.set_usable(context.tiny_workers[worker].name, False)
 
 
-@when("worker {worker:d} of the tiny cell is back")
+@when("worker {worker:d} of the tiny cell returns")
 def return_tiny_worker(context: Any, worker: int) -> None:
     context.tiny.set_usable(context.tiny_workers[worker].name, True)
 
 
-@then("the last request of the tiny cell comes at once")
-def check_tiny_comes(context: Any) -> None:
+@then("the last request of the tiny cell is placed or reclaimed at once")
+def check_tiny_placed(context: Any) -> None:
     assert isinstance(context.tiny_decision, Placed | Reclaim), context.tiny_decision
 
 
-@then("every promise of the tiny cell has a room")
+@then("every guarantee of the tiny cell has an allocation")
 def check_tiny_allocations(context: Any) -> None:
     assert is_reclaimable(context.tiny)
