--- a/features/steps/placement_oracle.py
+++ b/features/steps/placement_oracle.py
@@ -1,4 +1,4 @@
-"""Brute force for tiny cells: tries every assignment, shares no code with rooms."""
+"""Brute-force oracle for tiny cells, independent of the allocation search."""
 
 from collections.abc import Iterator, Sequence
 from itertools import product
@@ -8,7 +8,7 @@
 Counts = tuple[int, ...]
 
 
-def list_all_rooms(
+def list_all_allocations(
     capacity: Counts, racks: Sequence[Sequence[int]], shape: Shape
 ) -> Iterator[Counts]:
     """Yield every vector of counts that satisfies the definition of a shape."""
@@ -42,12 +42,12 @@
     available: Counts,
     needs: Sequence[tuple[Shape, Counts]],
 ) -> bool:
-    """Whether disjoint rooms exist; a need is a shape and what it must enclose."""
+    """Whether disjoint allocations exist; a need is a shape and what it encloses."""
     if not needs:
         return True
     (shape, charged), *others = needs
-    for room in list_all_rooms(capacity, racks, shape):
-        extra = [count - held for count, held in zip(room, charged, strict=True)]
+    for allocation in list_all_allocations(capacity, racks, shape):
+        extra = [count - held for count, held in zip(allocation, charged, strict=True)]
         left = tuple(have - count for have, count in zip(available, extra, strict=True))
         if min(extra) < 0 or min(left) < 0:
             continue
@@ -62,7 +62,7 @@
     promised: Sequence[tuple[str, Shape]],
     pinned: Sequence[tuple[str, Counts]],
 ) -> bool:
-    """Whether any charging of the pinned work leaves rooms for all promises."""
+    """Whether some charging of the pinned work keeps an allocation for each unit."""
     available = list(capacity)
     for _, counts in pinned:
         for worker, count in enumerate(counts):
