--- a/features/requests/machines.py
+++ b/features/requests/machines.py
@@ -11,7 +11,10 @@
     run_state_machine_as_test,
 )
 
-from primrosestile.decisions.admission import LONGEST_RETRY, SHORTEST_RETRY
+from primrosestile.decisions.admission import (
+    MAX_RETRY_AFTER_SECONDS,
+    MIN_RETRY_AFTER_SECONDS,
+)
 from primrosestile.decisions.capacity import LEAVING_SECONDS
 from primrosestile.decisions.queueing import Refusal, Waiting, make_queue
 from primrosestile.decisions.routing import Outcome, make_router
@@ -59,7 +62,7 @@
 
     def check_refusal(self, refusal: Refusal) -> None:
         assert ANSWERS[refusal.kind].ran is Ran.NOT_RUN
-        assert SHORTEST_RETRY <= refusal.retry_after <= LONGEST_RETRY
+        assert MIN_RETRY_AFTER_SECONDS <= refusal.retry_after <= MAX_RETRY_AFTER_SECONDS
 
     @rule(
         organisation=st.sampled_from("ab"),
--- a/src/primrosestile/decisions/__init__.py
+++ b/src/primrosestile/decisions/__init__.py
@@ -1,6 +1,5 @@
-"""Decisions under load: admit, queue, refuse, place, reclaim, shift.
+"""Scheduling decisions: admission, queueing, placement, reclaim and migration.
 
-Pure code: time comes in as an argument, outcomes go out as typed values, and
-nothing here opens a socket, sleeps or reads a clock. The coordination layer does
-what a decision says.
+Pure code: time is an argument, results are typed values, and nothing here opens a
+socket, sleeps or reads a clock. The coordination layer carries decisions out.
 """
--- a/src/primrosestile/decisions/access.py
+++ b/src/primrosestile/decisions/access.py
@@ -1,14 +1,13 @@
-"""Who a bearer token belongs to, and what it may do.
+"""Authentication of bearer tokens and the rights that each key grants.
 
-A burst of requests without rights must cost next to nothing, or anyone could
-crowd out those with rights. So the check comes first, reads no more than the
-header, and is one hash and one look-up in an index that is built once for each
-picture of the settings.
+A burst of unauthenticated requests must be cheap, or anyone could crowd out
+authorised callers. So the check comes first, reads only the header, and is one hash
+and one look-up in an index that is built once for each settings snapshot.
 
-Looking a token up by its hash leaks nothing useful. A look-up in a table does
-take a time that depends on its key, but the key here is the SHA-256 of what the
-caller sent, and nobody can choose a token so that its hash begins as a stored one
-does. The final comparison takes the same time whatever the two hashes are.
+Looking a token up by its hash leaks nothing useful. The time of a hash table
+look-up depends on its key, but the key is the SHA-256 of what the caller sent, and
+nobody can choose a token whose hash shares a prefix with a stored one. The final
+comparison takes constant time.
 """
 
 import hashlib
@@ -21,13 +20,13 @@
 from primrosestile.state.tenancy import Key, Team
 
 BEARER = "bearer "
-# Longer than any token that an operator would issue. Without a limit the hash
-# would be the one place where a stranger decides how long we work.
+# Longer than any token that an operator would issue. Without a limit an
+# unauthenticated caller could choose how much is hashed.
 TOKEN_LIMIT = 256
 
 
 class Scope(Enum):
-    """What a key may act for, as its `scope` in the settings says."""
+    """What a key may act for; the `scope` of the key in the settings."""
 
     CALLER = "caller"
     ORGANISATION = "organisation"
@@ -70,18 +69,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Holder:
+class _IndexedKey:
     sha256: str
     rights: Rights
 
 
 class KeyIndex:
-    """All keys of one picture of the settings, by hash."""
+    """All keys of one settings snapshot, by hash."""
 
     def __init__(self, settings: Settings) -> None:
-        self._holders = {
-            holder.sha256: holder
-            for holder in (*_list_callers(settings), *_list_operators(settings))
+        self._by_hash = {
+            found.sha256: found
+            for found in (*_list_callers(settings), *_list_operators(settings))
         }
 
     def find(self, token: str) -> Rights | None:
@@ -89,14 +88,14 @@
         if not token or len(token) > TOKEN_LIMIT:
             return None
         digest = hash_token(token)
-        holder = self._holders.get(digest)
-        if holder is None or not hmac.compare_digest(holder.sha256, digest):
+        found = self._by_hash.get(digest)
+        if found is None or not hmac.compare_digest(found.sha256, digest):
             return None
-        return holder.rights
+        return found.rights
 
 
-class _Latest:
-    """The index of the settings asked about last.
+class _LatestIndex:
+    """Cache of the index of the latest settings snapshot.
 
     Settings are frozen and replaced whole, so one object has one index.
     """
@@ -107,14 +106,14 @@
 
 def find_rights(settings: Settings, token: str) -> Rights | None:
     """Return the rights that the settings in force give to a token, or None."""
-    if _Latest.settings is not settings:
-        _Latest.index = KeyIndex(settings)
-        _Latest.settings = settings
-    return _Latest.index.find(token)
+    if _LatestIndex.settings is not settings:
+        _LatestIndex.index = KeyIndex(settings)
+        _LatestIndex.settings = settings
+    return _LatestIndex.index.find(token)
 
 
 def hash_token(token: str) -> str:
-    """Return the form in which settings keep a token."""
+    """Return the hash under which settings store a token."""
     return hashlib.sha256(token.encode("utf-8", "surrogatepass")).hexdigest()
 
 
@@ -145,26 +144,28 @@
     """
     rights = require_rights(settings, header)
     if not rights.is_operator:
-        raise Failure(ErrorKind.FORBIDDEN, f"key {rights.key_name!r} is no operator's")
+        raise Failure(
+            ErrorKind.FORBIDDEN, f"{rights.key_name!r} is not an operator key"
+        )
     return rights
 
 
-def _list_operators(settings: Settings) -> list[_Holder]:
+def _list_operators(settings: Settings) -> list[_IndexedKey]:
     keys = settings.policy.operator_keys
-    return [_Holder(key.sha256, Rights(key.name, Scope.OPERATOR)) for key in keys]
+    return [_IndexedKey(key.sha256, Rights(key.name, Scope.OPERATOR)) for key in keys]
 
 
-def _list_callers(settings: Settings) -> list[_Holder]:
+def _list_callers(settings: Settings) -> list[_IndexedKey]:
     return [
-        _Holder(key.sha256, _make_rights(team, key))
+        _IndexedKey(key.sha256, _make_rights(team, key))
         for team in settings.teams
         for key in team.keys
     ]
 
 
 def _make_rights(team: Team, key: Key) -> Rights:
-    # A scope that this program does not know gives the narrower right, and a
-    # team can never make an operator's key for itself.
+    # An unknown scope gives the narrower right, and a team's key never gives an
+    # operator's rights.
     wide = key.scope == Scope.ORGANISATION.value
     scope = Scope.ORGANISATION if wide else Scope.CALLER
     return Rights(key.name, scope, team.organisation, team.name)
--- a/src/primrosestile/decisions/admission.py
+++ b/src/primrosestile/decisions/admission.py
@@ -1,10 +1,10 @@
-"""Whether a short request is let into the queue, and what a refused caller is told.
+"""Admission control of short requests by their deadlines.
 
-A request that can not be served by its deadline costs twice: its caller waits
-for nothing, and the slot that ends up running it is lost to one that would have
-been in time. So the decision is made on arrival, from the work that is already
-waiting and the rate at which it has been leaving, and a refusal says when the
-same request would be let in.
+A request that cannot be served by its deadline costs twice: its caller waits for
+nothing, and the slot that runs it is lost to a request that would have been in
+time. So the decision is made on arrival, from the work already queued and the rate
+at which the queue drains, and a refusal says when the same request would be
+admitted.
 """
 
 from dataclasses import dataclass
@@ -12,18 +12,18 @@
 from primrosestile.errors import ErrorKind
 from primrosestile.state.tenancy import Urgency
 
-# Made for three times the load that the slots can serve. Urgent work has to
-# start within 5.8 seconds, so the queue never promises a wait that is close to
-# it: the estimate may be wrong by almost half before a caller notices.
-MOST_URGENT_WAIT = 3.0
-# Under lasting overload each request is let in at the very limit, so any error of
-# the estimate makes it late. This part of the time left absorbs the error: a
-# refusal on arrival is worth more to a caller than one after nine seconds.
-PROMISED_SHARE = 0.7
-# A caller told to come back later than this rather goes away; one told to come
-# back sooner than this only adds load.
-LONGEST_RETRY = 60.0
-SHORTEST_RETRY = 0.1
+# Chosen for three times the load that the slots can serve. Urgent work has to start
+# within 5.8 seconds; admitting only up to about half of that keeps it in time
+# although the estimate may be wrong by almost half.
+MAX_URGENT_WAIT_SECONDS = 3.0
+# Under lasting overload each request is admitted exactly at the limit, so any error
+# of the estimate makes it late. Only this share of the slack is used and the rest
+# absorbs the error: a refusal on arrival is better than one after nine seconds.
+USABLE_SLACK_SHARE = 0.7
+# A caller told to retry later than the maximum gives up instead; a retry sooner than
+# the minimum only adds load.
+MAX_RETRY_AFTER_SECONDS = 60.0
+MIN_RETRY_AFTER_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
         request_id: Unique among the requests that wait at this process.
         arrived_at: Seconds of the loop's clock.
         deadline: Seconds of the loop's clock; an answer after it is of no use.
-        expected_seconds: The declared run time, used until there is experience.
+        expected_seconds: The declared run time, used until run times are measured.
     """
 
     request_id: str
@@ -49,13 +49,13 @@
 
     @property
     def class_key(self) -> tuple[str, str]:
-        """What run times are learned by."""
+        """Key under which run times are recorded."""
         return (self.team, self.job_class)
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request was not run, and when to come back.
+    """Why a request was not run, and when to retry.
 
     Attributes:
         retry_after: Seconds.
@@ -67,11 +67,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prospect:
-    """What a request that arrives now has to expect.
+class WaitEstimate:
+    """Expected wait and run time of a request that arrives now.
 
     Attributes:
-        places_left: How many more requests its queue takes; none left refuses.
+        places_left: How many more requests its queue takes; refused at 0 or less.
         wait: Seconds until it would start.
         run: Seconds that it would then run.
     """
@@ -82,39 +82,41 @@
 
 
 def decide_admission(
-    waiting: Waiting, prospect: Prospect, now: float
+    waiting: Waiting, estimate: WaitEstimate, now: float
 ) -> Refusal | None:
-    """Return why the request is refused, or None when it may wait.
+    """Return why the request is refused, or None when it is admitted.
 
-    Made for bursts and for lasting overload. The harm prevented is a queue in
-    which every request is served just too late: all slots are busy and no caller
-    is content. The limit is the deadline itself, and for urgent work also
-    `MOST_URGENT_WAIT`. Retry times are still raw here: the queue spreads them.
+    For bursts and lasting overload. It prevents a queue in which every request is
+    served just too late, with all slots busy for nothing. The limit is the deadline,
+    and for urgent work also `MAX_URGENT_WAIT_SECONDS`. The queue spreads the retry
+    times that are returned here.
     """
     time_left = waiting.deadline - now
     if time_left <= 0:
         return Refusal(
-            ErrorKind.DEADLINE_PASSED, "the deadline passed on arrival", SHORTEST_RETRY
+            ErrorKind.DEADLINE_PASSED,
+            "the deadline passed on arrival",
+            MIN_RETRY_AFTER_SECONDS,
         )
-    if prospect.places_left <= 0:
+    if estimate.places_left <= 0:
         return Refusal(
             ErrorKind.QUEUE_FULL,
             f"the queue of {waiting.organisation} is full",
-            prospect.wait,
+            estimate.wait,
         )
-    allowed = allow_wait(waiting.urgency, time_left - prospect.run)
-    if prospect.wait > allowed:
+    allowed = find_max_wait(waiting.urgency, time_left - estimate.run)
+    if estimate.wait > allowed:
         detail = (
-            f"it would start in {prospect.wait:.1f} s and run {prospect.run:.1f} s, "
+            f"it would start in {estimate.wait:.1f} s and run {estimate.run:.1f} s, "
             f"{time_left:.1f} s before its deadline"
         )
-        return Refusal(ErrorKind.OVERLOADED, detail, prospect.wait - allowed)
+        return Refusal(ErrorKind.OVERLOADED, detail, estimate.wait - allowed)
     return None
 
 
-def allow_wait(urgency: Urgency, slack: float) -> float:
-    """Return the longest wait in seconds that is worth queueing for."""
-    allowed = slack * PROMISED_SHARE
+def find_max_wait(urgency: Urgency, slack: float) -> float:
+    """Return the longest wait in seconds for which a request is admitted."""
+    allowed = slack * USABLE_SLACK_SHARE
     if urgency is Urgency.URGENT:
-        return min(allowed, MOST_URGENT_WAIT)
+        return min(allowed, MAX_URGENT_WAIT_SECONDS)
     return allowed
--- a/src/primrosestile/decisions/allowances.py
+++ b/src/primrosestile/decisions/allowances.py
@@ -1,8 +1,8 @@
-"""How many requests one entry may have at each target, now.
+"""How many requests one entry may have in flight at each target.
 
-Three sources are weighed: a fresh grant of the cell's owner; for one lifetime
-after it lapsed, the lesser of that grant and the safe share; and else the safe
-share. `decisions/slots.py` tells why the sum over entries holds.
+The bound is a fresh grant of the cell's owner; for one lifetime after it lapsed, the
+lesser of that grant and the safe share; and otherwise the safe share.
+`decisions/slots.py` explains why the sum over entries stays within the slots.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -10,11 +10,11 @@
 
 from primrosestile.decisions.slots import share_one_safely
 
-# Connections that a worker accepts. Each entry keeps one open for each request
-# that it has there, so its part of them bounds its requests as well.
-CONNECTIONS = 64
-# Slots used on each target until the other entries are known.
-FIRST_SHARE = 1
+# Connections that a worker accepts. Each entry keeps one open for each request in
+# flight there, so its share of the connections also bounds its requests.
+CONNECTIONS_PER_WORKER = 64
+# Slots used on each target until the live entries are known.
+INITIAL_SLOTS = 1
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -33,7 +33,7 @@
 
     @property
     def settled_at(self) -> float:
-        """When every grant of the same owner has lapsed, if it is dead."""
+        """When every grant of the same owner has lapsed, if the owner has died."""
         return self.until + self.seconds
 
 
@@ -44,35 +44,38 @@
         self._self_name = self_name
         self._entries: tuple[str, ...] = ()
         self._slots: dict[str, int] = {}
-        self._safe: dict[str, int] = {}
+        self._safe_slots: dict[str, int] = {}
         self._grants: dict[str, Grant] = {}
 
     def set_slots(self, slots: Mapping[str, int]) -> set[str]:
-        """Take in the fleet; return which targets came, went or changed."""
+        """Set the slots of all targets; return those added, removed or changed."""
         known = self._slots
         gone = known.keys() - slots.keys()
         changed = {name for name, count in slots.items() if known.get(name) != count}
         for worker in gone:
             self._grants.pop(worker, None)
-            self._safe.pop(worker, None)
+            self._safe_slots.pop(worker, None)
         self._slots = dict(slots)
-        self._work_out(changed)
+        self._compute_safe_slots(changed)
         return changed | gone
 
     def set_entries(self, names: Sequence[str]) -> None:
-        """Take in the live entries; this one counts, whether listed yet or not.
+        """Set the live entries; this one counts, whether listed yet or not.
 
-        A store that is slow shows a new entry the others first. Without itself it
-        would have no share, and refuse every request until its record comes.
+        A slow store may list the other entries before this new one. Without itself
+        it would have no share and refuse every request until its record is listed.
         """
         listed = set(names)
         entries = tuple(sorted(listed | {self._self_name})) if listed else ()
         if entries != self._entries:
             self._entries = entries
-            self._work_out(self._slots)
+            self._compute_safe_slots(self._slots)
 
     def set_grant(self, workers: Iterable[str], grant: Grant, now: float) -> list[str]:
-        """Take in what one cell's owner granted; return where it changes a figure."""
+        """Set the grant of one cell's owner; return the workers where it matters.
+
+        These are workers whose slots changed or that had no fresh grant.
+        """
         changed = []
         for worker in workers:
             if worker not in self._slots:
@@ -80,7 +83,7 @@
             before = self._grants.get(worker)
             self._grants[worker] = grant
             fresh = before is not None and now < before.until
-            if not fresh or not self._is_same(worker, before, grant):
+            if not fresh or not self._grants_same(worker, before, grant):
                 changed.append(worker)
         return changed
 
@@ -89,35 +92,35 @@
         return sorted(self._slots)
 
     def list_under(self, grant: Grant, workers: Iterable[str]) -> tuple[str, ...]:
-        """Return those for which no later grant has come."""
+        """Return the workers for which no later grant has arrived."""
         return tuple(each for each in workers if self._grants.get(each) is grant)
 
     def find(self, worker: str, now: float) -> int:
-        """Return how many requests this entry may have at the worker now."""
+        """Return how many requests this entry may have in flight at the worker."""
         allowed = self._find_slots(worker, now)
         if not self._entries:
             return allowed
-        return min(allowed, max(1, CONNECTIONS // len(self._entries)))
+        return min(allowed, max(1, CONNECTIONS_PER_WORKER // len(self._entries)))
 
-    def _is_same(self, worker: str, before: Grant | None, after: Grant) -> bool:
+    def _grants_same(self, worker: str, before: Grant | None, after: Grant) -> bool:
         if before is None:
             return False
         return before.slots.get(worker, 0) == after.slots.get(worker, 0)
 
     def _find_slots(self, worker: str, now: float) -> int:
         slots = self._slots.get(worker, 0)
-        safe = self._safe.get(worker, 0)
+        safe = self._safe_slots.get(worker, 0)
         grant = self._grants.get(worker)
         if grant is None or now >= grant.settled_at:
             return safe
         granted = grant.slots.get(worker, 0)
         return min(granted, slots if now < grant.until else safe)
 
-    def _work_out(self, workers: Iterable[str]) -> None:
+    def _compute_safe_slots(self, workers: Iterable[str]) -> None:
         for worker in workers:
             count = self._slots[worker]
-            self._safe[worker] = (
+            self._safe_slots[worker] = (
                 share_one_safely(worker, count, self._entries, self._self_name)
                 if self._entries
-                else min(FIRST_SHARE, count)
+                else min(INITIAL_SLOTS, count)
             )
--- a/src/primrosestile/decisions/learning.py
+++ b/src/primrosestile/decisions/learning.py
@@ -1,24 +1,24 @@
-"""Run times learned from experience, since declared ones are far off.
+"""Run time estimates from measured runs, since declared run times are far off.
 
-A declared run time that is off by ten times turns "the short job first" into its
-opposite. Each class of work keeps its latest run times, and estimates are
-quantiles of these: a low one to order work, a high one to fill a gap safely.
+A declared run time that is off by ten times inverts shortest-job-first order. Each
+job class keeps its latest run times, and estimates are quantiles of these: a low one
+to order work, a high one to backfill a gap safely.
 """
 
 from bisect import insort
 from collections import deque
 
-# Run times kept for each class. Enough for a stable nine-tenths quantile; few
-# enough that a class whose work changes is learned anew within a working day.
-SAMPLE_LIMIT = 64
+# Enough for a stable 0.9 quantile; few enough that the estimate follows a class
+# whose work changes within a working day.
+SAMPLES_PER_CLASS = 64
 
-# Samples that the declared time counts for. One wild run then cannot replace it,
-# and after a dozen runs experience has the say.
-DECLARED_WEIGHT = 3
+# The declared time counts as this many samples, so one outlier cannot replace it.
+# After four times as many runs, a dozen, only measured run times count.
+DECLARED_WEIGHT_SAMPLES = 3
 
-# Classes kept. 210 teams with a dozen classes each stay well below; the limit
-# bounds the memory that made-up class names could take.
-CLASS_LIMIT = 10_000
+# 210 teams with a dozen classes each stay well below; the limit bounds the memory
+# that invented class names could take.
+MAX_CLASSES = 10_000
 
 
 class RunTimes:
@@ -29,15 +29,15 @@
         self._sorted: dict[str, list[float]] = {}
 
     def record(self, job_class_key: str, seconds: float) -> None:
-        """Note one finished run; failed and cancelled runs say nothing."""
+        """Record one finished run; failed and cancelled runs must not be recorded."""
         if job_class_key not in self._samples:
-            if len(self._samples) >= CLASS_LIMIT:
-                self._forget_oldest()
+            if len(self._samples) >= MAX_CLASSES:
+                self._evict_oldest()
             self._samples[job_class_key] = deque()
             self._sorted[job_class_key] = []
         samples = self._samples[job_class_key]
         ordered = self._sorted[job_class_key]
-        if len(samples) >= SAMPLE_LIMIT:
+        if len(samples) >= SAMPLES_PER_CLASS:
             ordered.remove(samples.popleft())
         samples.append(seconds)
         insort(ordered, seconds)
@@ -49,7 +49,7 @@
 
         Args:
             job_class_key: Which class of work.
-            declared: The caller's guess; it counts as a few samples.
+            declared: The caller's estimate; counts as `DECLARED_WEIGHT_SAMPLES`.
             quantile: From 0 to 1; the share of runs that should end sooner.
         """
         ordered = self._sorted.get(job_class_key)
@@ -60,16 +60,16 @@
         high = min(low + 1, len(ordered) - 1)
         learned = ordered[low] + (ordered[high] - ordered[low]) * (rank - low)
         count = len(ordered)
-        if count >= 4 * DECLARED_WEIGHT:
+        if count >= 4 * DECLARED_WEIGHT_SAMPLES:
             return learned
-        weight = count / (count + DECLARED_WEIGHT)
+        weight = count / (count + DECLARED_WEIGHT_SAMPLES)
         return float(learned**weight * max(declared, 0.001) ** (1.0 - weight))
 
     def count(self, job_class_key: str) -> int:
-        """Return how many runs of a class are remembered."""
+        """Return how many runs of a class are kept."""
         return len(self._samples.get(job_class_key, ()))
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         oldest = next(iter(self._samples))
         del self._samples[oldest]
         del self._sorted[oldest]
--- a/src/primrosestile/decisions/outliers.py
+++ b/src/primrosestile/decisions/outliers.py
@@ -1,9 +1,9 @@
-"""Targets that answer far worse than the others, set aside for a while.
+"""Outlier ejection: targets that do far worse than the fleet get no requests.
 
-A target that fails at once is always free, so it draws in requests faster than
-any healthy one; a target that is ten times slower holds a slot for ten requests.
-Both are told from ordinary noise by comparing them with the fleet, and only a
-bounded share is set aside: if all are bad, there is nothing better to use.
+A target that fails at once is always free, so it attracts requests faster than any
+healthy one; a target that is ten times slower occupies a slot for the time of ten
+requests. Both are told from noise by comparison with the fleet. Only a bounded share
+is ejected: if all targets are bad, there is nothing better to use.
 """
 
 import math
@@ -11,81 +11,81 @@
 from collections.abc import Set
 from dataclasses import dataclass
 
-# A target is slow when its run times, measured against what its classes need
+# A target is slow when its run times, relative to those of the same classes
 # elsewhere, are this many times the median target's.
-SLOW_FACTOR = 3.0
-# Weight of a new run; averages of logarithms settle within some twenty runs and are
-# not thrown by one long run.
+SLOW_RATIO = 3.0
+# Weight of a new run; the average of logarithms settles within some twenty runs and
+# is robust against one long run.
 NEW_RUN_WEIGHT = 0.1
 # Weight of the age of a run that is far overdue. Such ages are rare by chance, so
-# two of them are enough to call a target slow, and one is not.
+# two of them are enough to classify a target as slow, and one is not.
 OVERDUE_WEIGHT = 0.4
-# Runs before a target can be called slow, since one long run says little.
-ENOUGH_RUNS = 4
-# Keep the logarithm finite for runs that took no measurable time.
-SHORTEST_RUN = 1e-6
-LEAST_RATIO = 1e-6
-# Failures in a row that set a target aside. A target that fails one request in
-# ten does this once in a thousand.
-FAILURES_IN_A_ROW = 3
-# Failing targets are an exception as long as they are no more than this share.
-MOST_PAUSED = 0.5
-# Rest before one request is tried again, doubled after each failed try.
-FIRST_REST = 5.0
-LONGEST_REST = 60.0
-# The median is worked out again after so many runs, or as many as there are
-# targets if that is more: it moves slowly, and sorting thousands takes long.
+# Runs before a target can be classified as slow: one long run is weak evidence.
+MIN_RUNS = 4
+# These keep the ratio and its logarithm finite for runs of no measurable time.
+MIN_EXPECTED_SECONDS = 1e-6
+MIN_RATIO = 1e-6
+# Consecutive failures after which a target is ejected. A target that fails one
+# request in ten reaches this once in a thousand requests.
+FAILURES_TO_EJECT = 3
+# Above this share of failing targets, none is paused for failing.
+MAX_FAILING_SHARE = 0.5
+# Ejection time before the first probe, doubled after each failed probe.
+INITIAL_EJECTION_SECONDS = 5.0
+MAX_EJECTION_SECONDS = 60.0
+# The median is recomputed after this many runs, or as many as there are targets if
+# that is more: it changes slowly, and sorting thousands of targets takes long.
 RUNS_BETWEEN_MEDIANS = 16
 
 
 @dataclass(slots=True)
 class Health:
-    """What is known of one target's recent runs.
+    """Statistics of one target's recent runs.
 
     Attributes:
-        slowness: Average logarithm of run time against expected run time.
-        resting_until: When one request may be tried; 0 unless set aside.
-        trying: A request is under way to find out whether it has recovered.
+        slowness: Average logarithm of run time over expected run time.
+        ejected_until: When one probe may be sent; 0 unless ejected.
+        probing: Whether a request is in flight as a probe of its recovery.
     """
 
     slowness: float = 0.0
     runs: int = 0
-    failures_in_a_row: int = 0
-    resting_until: float = 0.0
-    rest: float = FIRST_REST
-    trying: bool = False
+    consecutive_failures: int = 0
+    ejected_until: float = 0.0
+    ejection_seconds: float = INITIAL_EJECTION_SECONDS
+    probing: bool = False
 
     @property
-    def is_resting(self) -> bool:
-        """Whether it is set aside."""
-        return self.resting_until > 0
+    def is_ejected(self) -> bool:
+        """Whether it is ejected."""
+        return self.ejected_until > 0
 
-    def is_due(self, now: float, urgent: bool) -> bool:
-        """Whether one request may find out if it has recovered."""
-        extra = self.rest if urgent else 0.0
-        return not self.trying and now >= self.resting_until + extra
+    def is_probe_due(self, now: float, urgent: bool) -> bool:
+        """Whether one request may probe whether it has recovered."""
+        extra = self.ejection_seconds if urgent else 0.0
+        return not self.probing and now >= self.ejected_until + extra
 
 
 class Outliers:
-    """Health of all targets, and which of them are set aside."""
+    """Health of all targets, and which of them are ejected."""
 
-    def __init__(self, most_share: float) -> None:
-        self.most_share = most_share
+    def __init__(self, max_ejected_share: float) -> None:
+        self.max_ejected_share = max_ejected_share
         self._targets: dict[str, Health] = {}
-        self._resting: set[str] = set()
+        self._ejected: set[str] = set()
         self._failing: set[str] = set()
         self._changed: set[str] = set()
-        self._next_try = math.inf
+        self._next_probe = math.inf
         self._median = 0.0
         self._runs = 0
 
     def set_targets(self, names: Set[str]) -> None:
-        """Forget targets that are gone, and take in new ones."""
+        """Remove targets that are no longer in the fleet, and add new ones."""
         for name in self._targets.keys() - names:
             del self._targets[name]
             self._failing.discard(name)
-            if name in self._resting:
-                self._resting.discard(name)
+            if name in self._ejected:
+                self._ejected.discard(name)
                 self._changed.add(name)
         for name in sorted(names - self._targets.keys()):
             self._targets[name] = Health(slowness=self._median)
@@ -94,105 +94,115 @@
         """Return a target's health, or None when it is not in the fleet."""
         return self._targets.get(name)
 
-    def is_resting(self, name: str) -> bool:
-        """Whether a target is set aside."""
-        return name in self._resting
+    def is_ejected(self, name: str) -> bool:
+        """Whether a target is ejected."""
+        return name in self._ejected
 
     def must_pause(self, name: str) -> bool:
-        """Whether a target that keeps failing is to be left alone for a moment.
+        """Whether to pause sending to a target that keeps failing.
 
-        Made for more failing targets than may be set aside, while the sound ones
-        are full. Always free, the failing ones would be sent all that waits, and
-        fail it, though it could have been refused as not run. If more than half
-        fail, they are no exception, and nothing is gained by sparing them.
+        For more failing targets than may be ejected, while the healthy ones are
+        full. The failing ones are always free, so all queued requests would be sent
+        there and fail, although they could have been refused as not run. If more
+        than half of the targets fail, pausing them gains nothing.
         """
-        return name in self._failing and not self.most_fail()
+        return name in self._failing and not self.are_most_failing()
 
-    def most_fail(self) -> bool:
-        """Whether failing targets are the rule and not the exception."""
-        return len(self._failing) > MOST_PAUSED * len(self._targets)
+    def are_most_failing(self) -> bool:
+        """Whether more than `MAX_FAILING_SHARE` of the targets keep failing."""
+        return len(self._failing) > MAX_FAILING_SHARE * len(self._targets)
 
     def collect_changed(self) -> set[str]:
-        """Return what was set aside or let back since the last call."""
+        """Return the targets ejected or readmitted since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
     def note_run(self, name: str, seconds: float, expected: float, now: float) -> None:
-        """Learn from a run that succeeded."""
+        """Record a run that succeeded."""
         health = self._targets.get(name)
         if health is None:
             return
-        health.failures_in_a_row = 0
+        health.consecutive_failures = 0
         self._failing.discard(name)
-        self._note_ratio(
-            name, health, seconds / max(expected, SHORTEST_RUN), NEW_RUN_WEIGHT, now
+        self._record_ratio(
+            name,
+            health,
+            seconds / max(expected, MIN_EXPECTED_SECONDS),
+            NEW_RUN_WEIGHT,
+            now,
         )
 
     def note_overdue(
         self, name: str, seconds: float, expected: float, now: float
     ) -> None:
-        """Learn from the age of a run that should have ended long ago."""
+        """Record the age of a run that should have ended long ago."""
         health = self._targets.get(name)
         if health is not None:
-            self._note_ratio(
-                name, health, seconds / max(expected, SHORTEST_RUN), OVERDUE_WEIGHT, now
+            self._record_ratio(
+                name,
+                health,
+                seconds / max(expected, MIN_EXPECTED_SECONDS),
+                OVERDUE_WEIGHT,
+                now,
             )
 
-    def _note_ratio(
+    def _record_ratio(
         self, name: str, health: Health, ratio: float, weight: float, now: float
     ) -> None:
-        slowness = math.log(max(ratio, LEAST_RATIO))
+        slowness = math.log(max(ratio, MIN_RATIO))
         health.runs += 1
-        if health.trying:
-            self._end_try(name, health, slowness, now)
+        if health.probing:
+            self._end_probe(name, health, slowness, now)
             return
         health.slowness += weight * (slowness - health.slowness)
         self._refresh_median()
-        if health.runs >= ENOUGH_RUNS and self._is_slow(health.slowness):
-            self._set_aside(name, health, now)
+        if health.runs >= MIN_RUNS and self._is_slow(health.slowness):
+            self._eject(name, health, now)
 
     def note_failure(self, name: str, now: float) -> None:
-        """Learn from a run that failed, or from a target that did not answer."""
+        """Record a run that failed, or a target that did not answer."""
         health = self._targets.get(name)
         if health is None:
             return
-        health.failures_in_a_row += 1
-        if health.failures_in_a_row >= FAILURES_IN_A_ROW:
+        health.consecutive_failures += 1
+        if health.consecutive_failures >= FAILURES_TO_EJECT:
             self._failing.add(name)
-        if health.trying:
-            self._rest_again(health, now)
-        elif health.failures_in_a_row >= FAILURES_IN_A_ROW:
-            self._set_aside(name, health, now)
+        if health.probing:
+            self._extend_ejection(health, now)
+        elif health.consecutive_failures >= FAILURES_TO_EJECT:
+            self._eject(name, health, now)
 
-    def start_try(self, name: str) -> None:
-        """Note that a request goes to a target that was set aside."""
+    def start_probe(self, name: str) -> None:
+        """Record a request to a target; on an ejected one it is a probe."""
         health = self._targets.get(name)
-        if health is not None and health.is_resting:
-            health.trying = True
+        if health is not None and health.is_ejected:
+            health.probing = True
 
-    def drop_try(self, name: str) -> None:
-        """Note that the try told nothing about the target."""
+    def cancel_probe(self, name: str) -> None:
+        """Record that a probe ended without evidence about the target."""
         health = self._targets.get(name)
-        if health is not None and health.trying:
-            health.trying = False
-            self._next_try = min(self._next_try, health.resting_until)
+        if health is not None and health.probing:
+            health.probing = False
+            self._next_probe = min(self._next_probe, health.ejected_until)
 
-    def list_to_try(self, now: float, urgent: bool) -> list[str]:
-        """Return those that have rested long enough for one request.
+    def list_due_probes(self, now: float, urgent: bool) -> list[str]:
+        """Return the ejected targets that are due for a probe.
 
-        Urgent work is used only where patient work has not come for as long as
-        the rest itself: nobody should wait at a target that is likely bad.
+        Urgent requests probe only after a second ejection time has passed without a
+        patient one as probe: urgent work should not wait at a likely bad target.
         """
-        if now < self._next_try:
+        if now < self._next_probe:
             return []
-        resting = sorted(self._resting)
-        waiting = [each for each in resting if not self._targets[each].trying]
-        times = (self._targets[name].resting_until for name in waiting)
-        self._next_try = min(times, default=math.inf)
-        return [name for name in waiting if self._targets[name].is_due(now, urgent)]
+        ejected = sorted(self._ejected)
+        waiting = [each for each in ejected if not self._targets[each].probing]
+        times = (self._targets[name].ejected_until for name in waiting)
+        self._next_probe = min(times, default=math.inf)
+        return [
+            name for name in waiting if self._targets[name].is_probe_due(now, urgent)
+        ]
 
     def _is_slow(self, slowness: float) -> bool:
-        return slowness - self._median > math.log(SLOW_FACTOR)
+        return slowness - self._median > math.log(SLOW_RATIO)
 
     def _refresh_median(self) -> None:
         self._runs += 1
@@ -201,41 +211,45 @@
             known = [each.slowness for each in self._targets.values() if each.runs]
             self._median = statistics.median(known)
 
-    def _set_aside(self, name: str, health: Health, now: float) -> None:
-        """Set a target aside unless too many are already.
+    def _eject(self, name: str, health: Health, now: float) -> None:
+        """Eject a target unless too many are already ejected.
 
-        The cap is the share of the settings that also bounds quarantine; at
-        least one may rest, else a small fleet could never avoid a bad target.
+        The cap is the share in the settings that also bounds quarantine; at least
+        one may be ejected, else a small fleet could never avoid a bad target.
         """
-        most = max(1, int(self.most_share * len(self._targets)))
-        if health.is_resting or len(self._resting) >= min(most, len(self._targets) - 1):
+        max_ejected = max(1, int(self.max_ejected_share * len(self._targets)))
+        if health.is_ejected or len(self._ejected) >= min(
+            max_ejected, len(self._targets) - 1
+        ):
             return
-        self._resting.add(name)
+        self._ejected.add(name)
         self._changed.add(name)
-        health.rest = FIRST_REST
-        self._rest_until(health, now + health.rest)
+        health.ejection_seconds = INITIAL_EJECTION_SECONDS
+        self._eject_until(health, now + health.ejection_seconds)
 
-    def _rest_again(self, health: Health, now: float) -> None:
-        health.trying = False
-        health.rest = min(LONGEST_REST, health.rest * 2)
-        self._rest_until(health, now + health.rest)
+    def _extend_ejection(self, health: Health, now: float) -> None:
+        health.probing = False
+        health.ejection_seconds = min(MAX_EJECTION_SECONDS, health.ejection_seconds * 2)
+        self._eject_until(health, now + health.ejection_seconds)
 
-    def _rest_until(self, health: Health, time: float) -> None:
-        health.resting_until = time
-        self._next_try = min(self._next_try, time)
+    def _eject_until(self, health: Health, time: float) -> None:
+        health.ejected_until = time
+        self._next_probe = min(self._next_probe, time)
 
-    def _end_try(self, name: str, health: Health, slowness: float, now: float) -> None:
+    def _end_probe(
+        self, name: str, health: Health, slowness: float, now: float
+    ) -> None:
         if self._is_slow(slowness):
-            self._rest_again(health, now)
+            self._extend_ejection(health, now)
             return
-        health.trying = False
-        health.resting_until = 0.0
+        health.probing = False
+        health.ejected_until = 0.0
         health.slowness = self._median
         health.runs = 0
-        self._resting.discard(name)
+        self._ejected.discard(name)
         self._changed.add(name)
 
 
-def make_outliers(most_share: float) -> Outliers:
-    """Return an empty picture of the fleet's health."""
-    return Outliers(most_share)
+def make_outliers(max_ejected_share: float) -> Outliers:
+    """Return the outlier detection of a fleet without targets."""
+    return Outliers(max_ejected_share)
--- a/src/primrosestile/decisions/pacing.py
+++ b/src/primrosestile/decisions/pacing.py
@@ -1,33 +1,33 @@
-"""How often a worker's leases are renewed and its report is read.
-
-Made for a placer that follows from eight to two thousand workers. Reading reports
-often finds ended tasks sooner, and each accelerator that has ended its task and
-waits to be noticed is a licence paid for nothing. Each reading costs about half a
-millisecond of processor, and control may use 2.5% of a core in all. So a round is
-short only while jobs wait for the room that it may find, and never so short that
-all the rounds of one process exceed a fixed rate.
+"""How often a worker's leases are renewed and its report is polled.
+
+For a placer that follows from eight to two thousand workers. Frequent polls find
+ended tasks sooner, and an accelerator whose task has ended unnoticed is a licence
+paid for nothing. Each poll costs about half a millisecond of processor time, and
+control may use 2.5% of a core in all. So the interval is short only while jobs wait
+for the capacity that a poll may find, and long enough that all the polls of one
+process stay below a fixed rate.
 """
 
-# Three renewals within a lease: one lost renewal and a slow second do no harm.
+# Three renewals within a lease tolerate one lost renewal and a slow second one.
 ROUNDS_PER_LEASE = 3
-# While jobs wait. A preview or a reclaim has 5.8 s; a second of them is lost here.
+# While jobs wait. A preview or a reclaim has 5.8 s, of which this takes up to 1 s.
 BUSY_ROUND_SECONDS = 1.0
-# Rounds of one process each second. At 0.5 ms a round this is 2% of a core.
+# Polls by one process. At 0.5 ms a poll this is 2% of a core.
 MOST_ROUNDS_PER_SECOND = 40.0
 
 
-# Placers speak to one another this often while they are few.
+# Interval of digest requests between two placers while there are few of them.
 EXCHANGE_SECONDS = 2.0
-# Questions of one placer each second. At 0.4 ms for asking and being asked, this
-# is 0.4% of a core.
+# Digest requests by one placer. At 0.4 ms for sending one and answering one, this is
+# 0.4% of a core.
 MOST_EXCHANGES_PER_SECOND = 10.0
 
 
 def choose_exchange_seconds(peers: int) -> float:
-    """Return the seconds between two questions of a placer to the same other one.
+    """Return the seconds between two digest requests of a placer to the same peer.
 
-    Made for 9 to some hundred placers. What they tell one another decides where a
-    waiting job might do better, which may be slower where there are more cells.
+    For 9 to some hundred placers. The digests decide which other cell might suit a
+    waiting job better, and this may be slower where there are more cells.
     """
     return max(EXCHANGE_SECONDS, peers / MOST_EXCHANGES_PER_SECOND)
 
@@ -35,14 +35,16 @@
 def choose_round_seconds(
     lease_seconds: float, jobs_wait: bool, workers_followed: int
 ) -> float:
-    """Return the seconds between two rounds of one worker.
+    """Return the seconds between two polls of one worker.
 
     Args:
         lease_seconds: Time to live of leases on workers.
-        jobs_wait: Whether jobs wait for room in the worker's cell.
+        jobs_wait: Whether jobs wait for capacity in the worker's cell.
         workers_followed: By this process, over all its cells.
     """
-    calm = lease_seconds / ROUNDS_PER_LEASE
+    idle_seconds = lease_seconds / ROUNDS_PER_LEASE
     if not jobs_wait:
-        return calm
-    return min(calm, max(BUSY_ROUND_SECONDS, workers_followed / MOST_ROUNDS_PER_SECOND))
+        return idle_seconds
+    return min(
+        idle_seconds, max(BUSY_ROUND_SECONDS, workers_followed / MOST_ROUNDS_PER_SECOND)
+    )
--- a/src/primrosestile/decisions/quarantine.py
+++ b/src/primrosestile/decisions/quarantine.py
@@ -1,11 +1,11 @@
-"""Bad workers and bad jobs, told apart by crossing their failures.
-
-One job that fails everywhere says nothing about the workers that it ran on, and
-a worker on which everything fails says nothing about the jobs. Counting
-failures of workers alone would let one broken job put a whole cell out of use;
-counting those of jobs alone would let one broken worker condemn every job that
-touches it. So a failure counts against a worker only as far as the same subject
-succeeds elsewhere, and against a subject only over several workers.
+"""Quarantine of bad workers, and detection of poison jobs.
+
+A job that fails everywhere is no evidence against the workers that it ran on, and a
+worker on which everything fails is none against the jobs. Counting failures by
+worker alone would let one poison job put a whole cell out of use; counting them by
+job alone would let one broken worker condemn every job that runs there. So a
+failure counts against a worker only as far as the same subject succeeds elsewhere,
+and against a subject only over several workers.
 """
 
 from collections.abc import Sequence
@@ -14,27 +14,27 @@
 from primrosestile.state.tenancy import Policy
 
 # Failures that must count against a worker, and different workers on which a
-# subject must have failed. Two can be chance; more would cost a job for each.
-ENOUGH_CROSSED = 3
+# subject must have failed. Two can be chance; each one more costs a failed job.
+MIN_CROSSED_FAILURES = 3
 # A worker is suspect when more than half of its latest runs failed.
-BAD_SHARE = 0.5
-# Runs remembered of each worker and of each subject.
+SUSPECT_FAILURE_SHARE = 0.5
+# Runs kept of each worker and of each subject.
 RUNS_KEPT = 32
-# Failures older than this are forgotten, unless the worker is in quarantine.
-MEMORY_SECONDS = 600.0
-# Successes in a row that let a worker back: a worker that fails half of its
-# tasks passes three by chance in one of eight tries.
+# Older runs no longer count for or against a worker; quarantine doesn't expire.
+FAILURE_WINDOW_SECONDS = 600.0
+# Consecutive successes that release a worker: one that fails half of its tasks
+# passes three by chance in one of eight attempts.
 CANARIES_NEEDED = 3
-# How long a worker rests before its first canary, and at most after failed ones.
-FIRST_REST = 30.0
-LONGEST_REST = 600.0
-# Subjects remembered; the oldest is forgotten first.
-MOST_SUBJECTS = 4096
+# Delay before a worker's first canary; it doubles up to the maximum after failures.
+INITIAL_CANARY_DELAY_SECONDS = 30.0
+MAX_CANARY_DELAY_SECONDS = 600.0
+# The subject that was first recorded is evicted first.
+MAX_SUBJECTS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class Quarantined:
-    """A worker that gets no work but canaries.
+    """A worker that gets only canary runs.
 
     Attributes:
         since: When it was put there, on the loop's clock.
@@ -50,7 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run's outcome; `other` is the subject or the worker, crosswise."""
+    """One run's outcome.
+
+    Attributes:
+        other: The subject in a worker's runs, the worker in a subject's runs.
+    """
 
     time: float
     other: str
@@ -58,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class _Rest:
+class _Quarantine:
     since: float
     seconds: float
     canary_after: float
@@ -72,20 +76,20 @@
 
 
 class FailureLedger:
-    """Outcomes crossed by worker and subject, for one cell."""
+    """Outcomes of runs by worker and by subject, for one cell."""
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
         self._workers: dict[str, list[Run]] = {}
         self._subjects: dict[str, list[Run]] = {}
-        self._resting: dict[str, _Rest] = {}
+        self._quarantined: dict[str, _Quarantine] = {}
 
     def set_policy(self, policy: Policy) -> None:
-        """Follow a change of settings."""
+        """Apply changed settings."""
         self._policy = policy
 
     def record(self, worker: str, subject: str, failed: bool, now: float) -> None:
-        """Note one run's outcome.
+        """Record one run's outcome.
 
         Args:
             worker: Where it ran.
@@ -94,72 +98,82 @@
             now: Seconds of the loop's clock.
         """
         _append(self._workers, worker, Run(now, subject, failed))
-        if subject not in self._subjects and len(self._subjects) >= MOST_SUBJECTS:
+        if subject not in self._subjects and len(self._subjects) >= MAX_SUBJECTS:
             del self._subjects[next(iter(self._subjects))]
         _append(self._subjects, subject, Run(now, worker, failed))
-        rest = self._resting.get(worker)
-        if rest is not None:
-            self._note_canary(worker, subject, failed, rest, now)
+        quarantine = self._quarantined.get(worker)
+        if quarantine is not None:
+            self._note_canary(worker, subject, failed, quarantine, now)
 
     def is_bad_job(self, subject: str) -> bool:
-        """Whether it fails everywhere.
+        """Whether a subject fails everywhere.
 
-        It failed on several workers and on all that it ran on lately; a subject
-        that succeeds anywhere is not at fault.
+        It does if it failed on several workers and none of its kept runs succeeded;
+        a subject that succeeds anywhere is not at fault.
         """
         runs = self._subjects.get(subject, ())
         if any(not run.failed for run in runs):
             return False
-        return len({run.other for run in runs}) >= ENOUGH_CROSSED
+        return len({run.other for run in runs}) >= MIN_CROSSED_FAILURES
 
     def decide(self, workers: Sequence[str], now: float) -> tuple[Quarantined, ...]:
-        """Return the workers of the cell that belong in quarantine now.
+        """Return the workers of the cell that are in quarantine from now on.
 
-        Made for workers that fail every task they start: being free all the
-        time, such a worker draws in job after job. The cap keeps a fault that
-        all workers share, such as a bad release of an engine, from putting the
-        whole cell out of use: then work fails, but it is tried.
+        For workers that fail every task they start: such a worker is always free,
+        so it attracts job after job. The cap keeps a fault that all workers share,
+        such as a bad release of an engine, from putting the whole cell out of use:
+        work is then tried although it fails.
         """
         present = set(workers)
-        for worker in [each for each in self._resting if each not in present]:
-            del self._resting[worker]
-        most = int(self._policy.quarantine_share * len(present))
-        self._release_excess(most)
+        for worker in [each for each in self._quarantined if each not in present]:
+            del self._quarantined[worker]
+        max_quarantined = int(self._policy.quarantine_share * len(present))
+        self._release_excess(max_quarantined)
         suspects = [
             (share, worker)
-            for worker in sorted(present - self._resting.keys())
-            if (share := self._judge_worker(worker, now)) > BAD_SHARE
+            for worker in sorted(present - self._quarantined.keys())
+            if (share := self._compute_failure_share(worker, now))
+            > SUSPECT_FAILURE_SHARE
         ]
         suspects.sort(key=lambda suspect: (-suspect[0], suspect[1]))
-        for share, worker in suspects[: most - len(self._resting)]:
-            self._resting[worker] = _Rest(now, FIRST_REST, now + FIRST_REST, share)
+        for share, worker in suspects[: max_quarantined - len(self._quarantined)]:
+            self._quarantined[worker] = _Quarantine(
+                now,
+                INITIAL_CANARY_DELAY_SECONDS,
+                now + INITIAL_CANARY_DELAY_SECONDS,
+                share,
+            )
         return tuple(
-            Quarantined(worker, rest.since, rest.canary_after, rest.describe())
-            for worker, rest in sorted(self._resting.items())
+            Quarantined(
+                worker, quarantine.since, quarantine.canary_after, quarantine.describe()
+            )
+            for worker, quarantine in sorted(self._quarantined.items())
         )
 
     def wants_canary(self, worker: str, now: float) -> bool:
-        """Whether one idempotent run may be tried on a worker in quarantine.
+        """Whether one idempotent canary may run on a worker in quarantine.
 
-        Only idempotent work: a worker that breaks in the middle of a run leaves
-        it unknown whether the run had its effect.
+        Only idempotent work: if a worker breaks during a run, it is unknown whether
+        the run took effect.
         """
-        rest = self._resting.get(worker)
-        return rest is not None and now >= rest.canary_after
+        quarantine = self._quarantined.get(worker)
+        return quarantine is not None and now >= quarantine.canary_after
 
-    def _release_excess(self, most: int) -> None:
-        """Let the least bad workers back when the settings allow fewer."""
-        worst = sorted(self._resting, key=lambda worker: -self._resting[worker].share)
-        for worker in worst[most:]:
-            del self._resting[worker]
+    def _release_excess(self, max_quarantined: int) -> None:
+        """Release the least bad workers when the settings allow fewer."""
+        worst = sorted(
+            self._quarantined, key=lambda worker: -self._quarantined[worker].share
+        )
+        for worker in worst[max_quarantined:]:
+            del self._quarantined[worker]
 
-    def _judge_worker(self, worker: str, now: float) -> float:
-        """Return the share of failed runs, as far as they count against it.
+    def _compute_failure_share(self, worker: str, now: float) -> float:
+        """Return the share of failed runs that count against a worker.
 
-        A subject that was seen nowhere else counts once, however often it
-        failed here: it may be at fault itself.
+        A subject that ran on no other worker counts once, however often it failed
+        here: it may be at fault itself.
         """
-        since = now - MEMORY_SECONDS
+        since = now - FAILURE_WINDOW_SECONDS
         blame, succeeded = 0.0, 0
         unknown: set[str] = set()
         for run in self._workers.get(worker, ()):
@@ -174,7 +188,7 @@
             else:
                 blame += 1 - share
         blame += len(unknown)
-        return blame / (blame + succeeded) if blame >= ENOUGH_CROSSED else 0.0
+        return blame / (blame + succeeded) if blame >= MIN_CROSSED_FAILURES else 0.0
 
     def _share_failed_elsewhere(self, subject: str, worker: str) -> float | None:
         """Return what share of a subject's runs on other workers failed."""
@@ -184,20 +198,25 @@
         return sum(others) / len(others) if others else None
 
     def _note_canary(
-        self, worker: str, subject: str, failed: bool, rest: _Rest, now: float
+        self,
+        worker: str,
+        subject: str,
+        failed: bool,
+        quarantine: _Quarantine,
+        now: float,
     ) -> None:
         if not failed:
-            rest.canaries += 1
-            if rest.canaries >= CANARIES_NEEDED:
-                del self._resting[worker]
-                # What it failed before it was mended must not count again.
+            quarantine.canaries += 1
+            if quarantine.canaries >= CANARIES_NEEDED:
+                del self._quarantined[worker]
+                # Failures from before its recovery must not count again.
                 self._workers[worker] = []
             return
         if self._share_failed_elsewhere(subject, worker) == 1:
             return
-        rest.canaries = 0
-        rest.seconds = min(LONGEST_REST, rest.seconds * 2)
-        rest.canary_after = now + rest.seconds
+        quarantine.canaries = 0
+        quarantine.seconds = min(MAX_CANARY_DELAY_SECONDS, quarantine.seconds * 2)
+        quarantine.canary_after = now + quarantine.seconds
 
 
 def _append(runs: dict[str, list[Run]], key: str, run: Run) -> None:
--- a/src/primrosestile/decisions/queueing.py
+++ b/src/primrosestile/decisions/queueing.py
@@ -1,10 +1,10 @@
 """The queue of short requests at one entry.
 
-Three rules shape it. What is let in can be served by its deadline, as far as is
-known. Urgent work goes first, yet patient work keeps a share, so that a lasting
-flood of urgent work delays it by a known bound and never stops it. And a
-request that has become hopeless is handed back at once, so its caller can act
-while there is still time.
+It follows three rules. An admitted request can be served by its deadline according
+to the estimates. Urgent work goes first, but patient work keeps a share, so that
+lasting urgent load delays it by a known bound and never starves it. A request that
+can no longer meet its deadline is returned at once, so that its caller can act while
+there is still time.
 """
 
 import heapq
@@ -14,57 +14,61 @@
 import xxhash
 
 from primrosestile.decisions.admission import (
-    LONGEST_RETRY,
-    SHORTEST_RETRY,
-    Prospect,
+    MAX_RETRY_AFTER_SECONDS,
+    MIN_RETRY_AFTER_SECONDS,
     Refusal,
+    WaitEstimate,
     Waiting,
     decide_admission,
 )
 from primrosestile.decisions.fairness import Entry, FairLine
-from primrosestile.decisions.servicetimes import Correction, DrainRate, Experience
+from primrosestile.decisions.servicetimes import (
+    DrainRate,
+    ServiceTimeEstimates,
+    WaitCorrection,
+)
 from primrosestile.errors import ErrorKind
 from primrosestile.state.tenancy import Policy, Urgency
 
 __all__ = ["Refusal", "RequestQueue", "Waiting", "make_queue"]
 
-# An organisation may hold twice, and one class of it as many, places as are
-# left. Alone, an organisation gets two thirds of the queue; a burst of another
-# always finds room, and no share lies idle by decree.
-ORGANISATION_FACTOR = 2.0
-CLASS_FACTOR = 1.0
-# Slots assumed until the entry has told how many it may use.
-FIRST_SLOTS = 8
-# The capacity can fall at any moment, so its estimate follows within seconds.
-CAPACITY_MEMORY = 2.0
-# Runs that experience calls too long are let in this seldom, so that a slow
-# spell that has ended is noticed.
-PROBE_SECONDS = 1.0
-# Requests no longer waiting that may stand among the latest starts.
-SPARE_STARTS = 256
-# The tail of a queue is looked at again after this long: four looks a second
-# give an answer far sooner than a caller would give up.
-LOOK_SECONDS = 0.25
-# A tail is given up when its wait exceeds the time left by this factor, so that
-# the noise of the estimate does not throw out what would have been served.
-HOPELESS_FACTOR = 1.25
+# An organisation may hold twice as many places as are free, and one of its classes
+# as many as are free. A single organisation gets two thirds of the queue; a burst of
+# another one always finds places, and no share is reserved and idle.
+ORGANISATION_PLACES_FACTOR = 2.0
+CLASS_PLACES_FACTOR = 1.0
+# Slots assumed until the entry sets how many it may use.
+INITIAL_SLOTS = 8
+# Capacity can drop at any time, so its estimate adapts within seconds.
+DRAIN_RATE_MEMORY_SECONDS = 2.0
+# Interval at which a class whose estimated run time is too long is admitted all the
+# same, to detect that it has become faster.
+PROBE_INTERVAL_SECONDS = 1.0
+# Entries for requests no longer queued that the heap of latest starts may hold.
+MAX_STALE_STARTS = 256
+# Interval between checks of the queues' tails: four a second answer a caller far
+# sooner than it would abandon the request.
+TAIL_CHECK_SECONDS = 0.25
+# A tail is dropped when its wait exceeds the time left by this factor, so that noise
+# of the estimate does not drop requests that would have been served.
+LATE_TAIL_FACTOR = 1.25
 
 
 class RequestQueue:
-    """Waiting short requests. Request ids are unique within one queue."""
+    """Queued short requests. Request ids are unique within one queue."""
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
         self._lines = {urgency: FairLine() for urgency in Urgency}
         self._entries: dict[str, Entry] = {}
         self._latest_starts: list[tuple[float, str]] = []
-        self._hopeless: list[Waiting] = []
-        self._experience = Experience()
-        self._drain = DrainRate(FIRST_SLOTS, CAPACITY_MEMORY)
-        self._corrections = {urgency: Correction() for urgency in Urgency}
+        self._late: list[Waiting] = []
+        self._service_times = ServiceTimeEstimates()
+        self._drain = DrainRate(INITIAL_SLOTS, DRAIN_RATE_MEMORY_SECONDS)
+        self._corrections = {urgency: WaitCorrection() for urgency in Urgency}
         self._patient_credit = 0.0
-        self._last_seen: float | None = None
-        self._next_look: float | None = None
+        self._last_advance: float | None = None
+        self._next_tail_check: float | None = None
         self._booked_until = 0.0
         self._probes: dict[tuple[str, str], float] = {}
 
@@ -72,33 +76,33 @@
         return len(self._entries)
 
     def set_policy(self, policy: Policy) -> None:
-        """Follow a change of settings; what waits stays in the queue."""
+        """Apply changed settings; queued requests stay in the queue."""
         self._policy = policy
 
     def set_slots(self, slots: int) -> None:
-        """Tell how many slots this entry may use now."""
+        """Set how many slots this entry may use now."""
         self._drain.slots = slots
 
     def offer(self, waiting: Waiting, now: float) -> Refusal | None:
         """Queue a request, or return why it is refused."""
         self._advance(now)
         if waiting.request_id in self._entries:
-            detail = "a request of the same id waits already"
-            return Refusal(ErrorKind.IN_PROGRESS, detail, SHORTEST_RETRY)
+            detail = "a request with the same id is already queued"
+            return Refusal(ErrorKind.IN_PROGRESS, detail, MIN_RETRY_AFTER_SECONDS)
         run = self._expect_run(waiting, now)
         line = self._lines[waiting.urgency]
-        foreseen = self._foresee_wait(waiting.urgency, line.work_ahead(waiting, run))
-        wait = foreseen * self._corrections[waiting.urgency].factor
-        prospect = Prospect(self._count_places(waiting), wait, run)
-        refusal = decide_admission(waiting, prospect, now)
+        estimated = self._estimate_wait(waiting.urgency, line.work_ahead(waiting, run))
+        wait = estimated * self._corrections[waiting.urgency].factor
+        estimate = WaitEstimate(self._count_places(waiting), wait, run)
+        refusal = decide_admission(waiting, estimate, now)
         if refusal is not None:
-            return self._spread_return(refusal, waiting, run, now)
-        entry = Entry(waiting, run, now, foreseen)
+            return self._spread_retry(refusal, waiting, run, now)
+        entry = Entry(waiting, run, now, estimated)
         line.add(entry)
         self._entries[waiting.request_id] = entry
         self._note_latest_start(waiting, run)
-        if self._next_look is None:
-            self._next_look = now + LOOK_SECONDS
+        if self._next_tail_check is None:
+            self._next_tail_check = now + TAIL_CHECK_SECONDS
         return None
 
     def take(
@@ -106,12 +110,12 @@
     ) -> Waiting | None:
         """Remove and return the next request to serve.
 
-        One that is found to be too late is not returned; `give_up` hands it back,
-        and `next_check` says at once that it is worth calling.
+        Requests found to be too late are skipped; `remove_late` returns them, and
+        `next_check` returns the current time as long as there are any.
 
         Args:
             now: Seconds of the loop's clock.
-            accept: Whether a request can be placed now; others are tried else.
+            accept: Whether a request can be placed now; if not, others are tried.
         """
         self._advance(now)
         for urgency in self._order_lines():
@@ -125,15 +129,15 @@
         return None
 
     def give_up(self, now: float) -> list[tuple[Waiting, Refusal]]:
-        """Remove and return what can no longer be served by its deadline."""
+        """Remove and return requests that can no longer meet their deadlines."""
         self._advance(now)
         self._collect_expired(now)
-        if self._next_look is not None and now >= self._next_look:
-            self._look_at_tails(now)
-            self._next_look = now + LOOK_SECONDS if self._entries else None
-        given_up = [(each, self._refuse_late(each, now)) for each in self._hopeless]
-        self._hopeless = []
-        return given_up
+        if self._next_tail_check is not None and now >= self._next_tail_check:
+            self._drop_late_tails(now)
+            self._next_tail_check = now + TAIL_CHECK_SECONDS if self._entries else None
+        dropped = [(each, self._refuse_late(each, now)) for each in self._late]
+        self._late = []
+        return dropped
 
     def remove(self, request_ids: Iterable[str]) -> list[Waiting]:
         """Remove cancelled requests: constant time for each."""
@@ -145,105 +149,105 @@
         return removed
 
     def next_check(self, now: float) -> float | None:
-        """Return when `give_up` is worth calling again, on the loop's clock."""
-        if self._hopeless:
+        """Return when to call `remove_late` again, on the loop's clock."""
+        if self._late:
             return now
         if not self._entries:
             return None
         times = [self._latest_starts[0][0]]
-        if self._next_look is not None:
-            times.append(self._next_look)
+        if self._next_tail_check is not None:
+            times.append(self._next_tail_check)
         return max(now, min(times))
 
     def note_served(self, waiting: Waiting, seconds: float, now: float) -> None:
-        """Learn from one run, whether it succeeded or not."""
+        """Record one run, whether it succeeded or not."""
         self._advance(now)
-        self._experience.note(waiting.class_key, seconds)
+        self._service_times.note(waiting.class_key, seconds)
 
     def _advance(self, now: float) -> None:
-        if self._last_seen is not None:
-            self._drain.note_time(now - self._last_seen, bool(self._entries))
-        self._last_seen = now
+        if self._last_advance is not None:
+            self._drain.note_time(now - self._last_advance, bool(self._entries))
+        self._last_advance = now
 
     def _note_latest_start(self, waiting: Waiting, run: float) -> None:
         starts = self._latest_starts
         heapq.heappush(starts, (waiting.deadline - run, waiting.request_id))
-        # What was taken stays listed until its time comes, which for work that
-        # may wait all night would be far too long.
-        if len(starts) > 2 * len(self._entries) + SPARE_STARTS:
+        # Entries of requests that left the queue stay in the heap until their latest
+        # start, which is far too long for work with deadlines hours away.
+        if len(starts) > 2 * len(self._entries) + MAX_STALE_STARTS:
             self._latest_starts = [each for each in starts if each[1] in self._entries]
             heapq.heapify(self._latest_starts)
 
     def _expect_run(self, waiting: Waiting, now: float) -> float:
-        """Return the run time in seconds to count with.
+        """Return the run time in seconds that admission assumes.
 
-        Made for declared times that are far off. Without any run to learn from,
-        a declared time never refuses: else a class declared far too long would
-        never run, and so never be known better. The same harm comes from a slow
-        spell that taught a run time beyond every deadline; one probe a second
-        ends it, and costs less than a slot.
+        For declared times that are far off. As long as no run was measured, a
+        declared time never refuses a request: otherwise a class declared far too
+        long would never run and its estimate never improve. The same happens after a
+        slow period with measured run times beyond every deadline; one probe a second
+        corrects that and costs less than a slot.
         """
         time_left = max(0.0, waiting.deadline - now)
-        times = self._experience.find(waiting.class_key)
+        times = self._service_times.find(waiting.class_key)
         if times is None:
             return min(waiting.expected_seconds, time_left / 2)
         if times.mean < time_left:
             return times.mean
         if now < self._probes.get(waiting.class_key, 0.0):
             return times.mean
-        self._probes[waiting.class_key] = now + PROBE_SECONDS
+        self._probes[waiting.class_key] = now + PROBE_INTERVAL_SECONDS
         return time_left / 2
 
-    def _foresee_wait(self, urgency: Urgency, ahead: float) -> float:
-        """Return the seconds until so much work of one line has left."""
+    def _estimate_wait(self, urgency: Urgency, ahead: float) -> float:
+        """Return the seconds until the work ahead in one line has drained."""
         rate = self._drain.estimate()
         share = self._policy.patient_share
         if urgency is Urgency.URGENT:
             kept = share if self._lines[Urgency.PATIENT].count else 0.0
             return ahead / (rate * max(1 - kept, 0.01))
-        # Patient work waits for all urgent work, or gets by on the kept share. The
-        # estimate hopes that no more urgent work comes: a burst ends, and what
-        # was refused in it can not be made good. If urgent work goes on, the
-        # correction learns it within some fifty requests.
+        # Patient work waits for all queued urgent work, or drains at its reserved
+        # share. The estimate assumes that no more urgent work arrives, since a burst
+        # ends and a refusal during it is final. If urgent work continues, the
+        # correction factor adapts within some fifty requests.
         urgent = self._lines[Urgency.URGENT]
         return min((ahead + urgent.work) / rate, ahead / (rate * max(share, 0.01)))
 
     def _count_places(self, waiting: Waiting) -> int:
-        """Return how many more requests of this kind may wait.
+        """Return how many more requests of this organisation and class may wait.
 
-        Made for a producer who sends a whole archive at once. The harm is that
-        its requests hold all memory and places, and the others' are refused.
+        For a producer that sends a whole archive at once. Without the limit its
+        requests would take all memory and places, and those of others be refused.
         """
         free = self._policy.queue_limit - len(self._entries)
-        of_party, of_class = self._lines[waiting.urgency].count_of(waiting)
-        party_room = int(ORGANISATION_FACTOR * free) - of_party
-        class_room = int(CLASS_FACTOR * free) - of_class
-        return min(free, party_room, class_room)
+        of_organisation, of_class = self._lines[waiting.urgency].count_of(waiting)
+        organisation_room = int(ORGANISATION_PLACES_FACTOR * free) - of_organisation
+        class_room = int(CLASS_PLACES_FACTOR * free) - of_class
+        return min(free, organisation_room, class_room)
 
-    def _spread_return(
+    def _spread_retry(
         self, refusal: Refusal, waiting: Waiting, run: float, now: float
     ) -> Refusal:
-        """Return the refusal with a time at which coming back makes sense.
+        """Return the refusal with a retry time of its own.
 
-        Made for hundreds of refusals a second. Told the same time, they would
-        all come back at once and all but a few be refused again. So each one
-        books the work that it stands for, and the next is sent behind it.
+        For hundreds of refusals a second. With the same retry time, all callers
+        would retry at once and all but a few be refused again. So each refusal books
+        the drain time of its own work, and the next one is told a later time.
         """
         first = now + refusal.retry_after
         self._booked_until = max(self._booked_until, first)
         self._booked_until += run / self._drain.estimate()
-        self._booked_until = min(self._booked_until, now + LONGEST_RETRY)
+        self._booked_until = min(self._booked_until, now + MAX_RETRY_AFTER_SECONDS)
         noise = xxhash.xxh32_intdigest(waiting.request_id.encode()) / 2**32
         wait = self._booked_until - now
-        if wait >= LONGEST_RETRY:
-            # Fully booked: then the returns are spread over half of the time.
+        if wait >= MAX_RETRY_AFTER_SECONDS:
+            # Fully booked: spreads the retries over the second half of the time.
             wait *= 1 - noise / 2
-        return replace(refusal, retry_after=max(SHORTEST_RETRY, wait))
+        return replace(refusal, retry_after=max(MIN_RETRY_AFTER_SECONDS, wait))
 
     def _order_lines(self) -> tuple[Urgency, Urgency]:
-        """Return which line goes first.
+        """Return the lines in the order in which they are served.
 
-        Urgent work does, until patient work has earned a turn. With a share of
+        Urgent work is first unless patient work has credit. With a patient share of
         a fifth it earns a quarter of a second for each second of urgent work, so
         its head waits for at most four times its own run time of urgent work.
         """
@@ -254,11 +258,11 @@
 
     def _charge(self, urgency: Urgency, work: float) -> None:
         if self._entries:
-            self._drain.note_left(work)
+            self._drain.note_departure(work)
         share = self._policy.patient_share
         if not self._lines[Urgency.PATIENT].count:
-            # Credit for work that nobody asked for would become a burst of
-            # patient work before urgent work later.
+            # Credit earned while no patient work is queued would later let a burst
+            # of patient work go before urgent work.
             self._patient_credit = 0.0
         elif urgency is Urgency.URGENT:
             self._patient_credit += work * share / max(1 - share, 0.01)
@@ -282,7 +286,7 @@
                 return accept is None or accept(waiting)
 
             entry = line.take(accept_in_time)
-            self._hopeless += self.remove(late)
+            self._late += self.remove(late)
             if entry is not None and entry.waiting is not None:
                 del self._entries[entry.waiting.request_id]
                 return entry
@@ -291,7 +295,7 @@
         return None
 
     def _is_late(self, waiting: Waiting, now: float) -> bool:
-        run = self._experience.estimate(waiting.class_key, 0.0)
+        run = self._service_times.estimate(waiting.class_key, 0.0)
         counted = self._entries[waiting.request_id].work
         return now + min(run, counted) > waiting.deadline
 
@@ -305,50 +309,52 @@
             if latest > now:
                 heapq.heappush(self._latest_starts, (latest, request_id))
                 continue
-            # Learned from as well: those that were served tell only of the
+            # Recorded too: served requests alone would bias the correction to
             # estimates that held.
             self._corrections[entry.waiting.urgency].note(
                 entry.foreseen_wait, now - entry.offered_at
             )
-            self._hopeless += self.remove([request_id])
+            self._late += self.remove([request_id])
 
-    def _look_at_tails(self, now: float) -> None:
-        """Give up what stands too far back to be served in time.
+    def _drop_late_tails(self, now: float) -> None:
+        """Drop requests that are too far back in the queue to be served in time.
 
-        Made for the loss of workers while the queue is long: what was promised
-        at the old rate can not be kept. The harm is a caller who waits for the
-        whole deadline although it was clear at once that nothing would come.
+        For the loss of workers while the queue is long: requests admitted at the old
+        drain rate can no longer be served. Without it a caller would wait until its
+        deadline although it was known at once that no answer would come.
         """
         for urgency, line in self._lines.items():
             for entries in list(line.class_entries()):
-                self._give_up_tail(urgency, entries, now)
+                self._drop_late_tail(urgency, entries, now)
 
-    def _give_up_tail(self, urgency: Urgency, entries: list[Entry], now: float) -> None:
+    def _drop_late_tail(
+        self, urgency: Urgency, entries: list[Entry], now: float
+    ) -> None:
         last = entries[-1].waiting
         total = sum(entry.work for entry in entries)
         if last is None or total <= 0:
             return
         line = self._lines[urgency]
-        wait = self._foresee_wait(urgency, line.work_ahead(last, 0.0))
-        if now + wait / HOPELESS_FACTOR <= last.deadline:
+        wait = self._estimate_wait(urgency, line.work_ahead(last, 0.0))
+        if now + wait / LATE_TAIL_FACTOR <= last.deadline:
             return
         ahead = 0.0
         for entry in entries:
             waiting = entry.waiting
-            start = now + wait * (ahead / total) / HOPELESS_FACTOR
+            start = now + wait * (ahead / total) / LATE_TAIL_FACTOR
             if waiting is None or start + entry.work <= waiting.deadline:
                 ahead += entry.work
                 continue
-            self._hopeless += self.remove([waiting.request_id])
+            self._late += self.remove([waiting.request_id])
 
     def _refuse_late(self, waiting: Waiting, now: float) -> Refusal:
         kind = ErrorKind.OVERLOADED
         if now >= waiting.deadline:
             kind = ErrorKind.DEADLINE_PASSED
         detail = "no slot would be free in time for its deadline"
-        refusal = Refusal(kind, detail, SHORTEST_RETRY)
-        run = self._experience.estimate(waiting.class_key, waiting.expected_seconds)
-        return self._spread_return(refusal, waiting, run, now)
+        refusal = Refusal(kind, detail, MIN_RETRY_AFTER_SECONDS)
+        run = self._service_times.estimate(waiting.class_key, waiting.expected_seconds)
+        return self._spread_retry(refusal, waiting, run, now)
 
     def _discard(self, request_id: str) -> Waiting | None:
         entry = self._entries.pop(request_id, None)
@@ -358,5 +364,5 @@
 
 
 def make_queue(policy: Policy) -> RequestQueue:
-    """Return an empty queue that follows the policy."""
+    """Return an empty queue under the policy."""
     return RequestQueue(policy)
--- a/src/primrosestile/decisions/sampling.py
+++ b/src/primrosestile/decisions/sampling.py
@@ -1,4 +1,4 @@
-"""A set that can be sampled at random in constant time."""
+"""A set with random sampling in constant time."""
 
 import random
 
@@ -8,42 +8,42 @@
 
     def __init__(self) -> None:
         self._names: list[str] = []
-        self._places: dict[str, int] = {}
+        self._indexes: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._names)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._places
+        return name in self._indexes
 
     def add(self, name: str) -> None:
-        """Put a name in, once."""
-        if name not in self._places:
-            self._places[name] = len(self._names)
+        """Add a name if it is not in the set."""
+        if name not in self._indexes:
+            self._indexes[name] = len(self._names)
             self._names.append(name)
 
     def discard(self, name: str) -> None:
-        """Take a name out, if it is in; the last one moves to its place."""
-        place = self._places.pop(name, None)
-        if place is None:
+        """Remove a name if it is in the set; the last one takes its index."""
+        index = self._indexes.pop(name, None)
+        if index is None:
             return
         last = self._names.pop()
         if last != name:
-            self._names[place] = last
-            self._places[last] = place
+            self._names[index] = last
+            self._indexes[last] = index
 
     def sample(
         self, source: random.Random, count: int, exclude: frozenset[str]
     ) -> list[str]:
         """Return up to `count` different names, none of those excluded.
 
-        In random order, so that the first of equals is not always the same one.
+        The order is random, so that ties are not always broken the same way.
         """
         names = self._names
         if len(names) <= count + len(exclude):
             first = int(source.random() * len(names))
-            turned = names[first:] + names[:first]
-            return [name for name in turned if name not in exclude][:count]
+            rotated = names[first:] + names[:first]
+            return [name for name in rotated if name not in exclude][:count]
         picked: list[str] = []
         while len(picked) < count:
             name = names[int(source.random() * len(names))]
--- a/src/primrosestile/decisions/settingschange.py
+++ b/src/primrosestile/decisions/settingschange.py
@@ -1,8 +1,8 @@
-"""Find the faults that a change of one stored path would bring.
+"""Validation of a change to one stored path.
 
-A path is checked within the whole picture: a rack that leaves may hold workers
-that stand at another path, and a worker that leaves may be what a guarantee needs.
-Were each path checked alone, each change would look sound and the whole would not.
+The change is checked within the whole settings document: a removed rack may hold
+workers stored at another path, and a guarantee may need a removed worker. Checks of
+each path alone would accept changes that make the whole invalid.
 """
 
 import json
@@ -15,8 +15,8 @@
 
 from primrosestile.decisions.settingscheck import (
     Fault,
+    affects_guarantee_capacity,
     check_raw,
-    needs_rooms,
     read_json,
 )
 from primrosestile.decisions.settingsparts import WORKERS, LeftOut, map_racks
@@ -30,7 +30,7 @@
 )
 
 SECTIONS = (FLEET_PATH, GUARANTEES_PATH, POLICY_PATH)
-PLACE_IN_FLEET = re.compile(r"fleet\.workers\[(\d+)\]")
+WORKER_IN_FLEET = re.compile(r"fleet\.workers\[(\d+)\]")
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,20 +38,20 @@
     """A change of one path within the whole document.
 
     Attributes:
-        place: Where the changed part stands in a document.
-        faults: Of the change itself, that the document can't show.
-        shift: How many workers stand before those of the changed path.
+        place: Path prefix of the changed part, as in reported faults.
+        faults: Faults of the change itself, which checks of the document miss.
+        index_offset: Number of workers listed before those of the changed path.
     """
 
     before: dict[str, Any]
     after: dict[str, Any]
     place: str
     faults: tuple[Fault, ...] = ()
-    shift: int = 0
+    index_offset: int = 0
 
 
 class _Refused(Exception):
-    """The change can't even be put into the document."""
+    """The change cannot be applied to the document."""
 
     def __init__(self, path: str, reason: str, remedy: str) -> None:
         super().__init__(reason)
@@ -59,10 +59,10 @@
 
 
 def check_change(settings: Settings, path: str, value: str) -> tuple[Fault, ...]:
-    """Return the faults that a change of one path would bring.
+    """Return the faults that a change of one path would cause.
 
-    Faults of other paths that stood before the change are left out: they may
-    not stop an operator from mending settings one path at a time.
+    Existing faults of other paths are left out: they must not keep an operator from
+    repairing settings one path at a time.
 
     Args:
         settings: The settings in force.
@@ -78,23 +78,23 @@
         change = _make_change(settings, path, section)
     except _Refused as refused:
         return (refused.fault,)
-    rooms = needs_rooms(path)
+    with_capacity = affects_guarantee_capacity(path)
     found = tuple(
-        _name_as_sent(each, path, change.shift)
-        for each in check_raw(change.after, rooms)
+        _translate_to_sent_path(each, path, change.index_offset)
+        for each in check_raw(change.after, with_capacity)
     )
     own = [each for each in found if each.path.startswith(change.place)]
     if len(own) < len(found):
-        known = frozenset(check_raw(change.before, rooms))
+        known = frozenset(check_raw(change.before, with_capacity))
         own = [each for each in found if each in own or each not in known]
     return change.faults + tuple(own)
 
 
 def describe_left_out(left_out: LeftOut) -> Fault:
-    """Return a stored worker that does not count as a fault."""
+    """Return the fault that reports an excluded worker."""
     return Fault(
         f"{left_out.path}[{left_out.index}]",
-        f"the worker is left out: {left_out.reason}",
+        f"the worker is ignored: {left_out.reason}",
         "Remove it there, or add its rack to the fleet.",
     )
 
@@ -119,7 +119,7 @@
         return _Change(before, {**before, FLEET_PATH: section}, FLEET_PATH)
     if WORKERS in section:
         remedy = "Put the workers of each failure domain at workers/<failure domain>."
-        raise _Refused("fleet.workers", "workers don't stand at this path", remedy)
+        raise _Refused("fleet.workers", "workers aren't stored at this path", remedy)
     fleet = before[FLEET_PATH]
     after = {**before, FLEET_PATH: {**section, WORKERS: fleet[WORKERS]}}
     return _Change(before, after, FLEET_PATH, _find_moved_racks(fleet, section))
@@ -128,10 +128,10 @@
 def _find_moved_racks(
     fleet: Mapping[str, Any], section: Mapping[str, Any]
 ) -> tuple[Fault, ...]:
-    """Return a fault for each rack that leaves its workers in another domain.
+    """Return a fault for each rack whose move separates it from its workers.
 
-    They would no longer stand where the workers of their failure domain are
-    looked for, and would be left out everywhere without a word.
+    The workers would still be stored under the rack's old failure domain, and so be
+    excluded everywhere without an error.
     """
     racks = map_racks(fleet)
     used = {worker["rack"] for worker in fleet[WORKERS]}
@@ -143,7 +143,7 @@
             continue
         domain = racks[name]
         if rack.get("failure_domain") != domain:
-            reason = f"the rack moves while its workers stand at workers/{domain}"
+            reason = f"the rack moves while workers/{domain} lists its workers"
             remedy = "Remove them there, move the rack, then put them at the new path."
             moved.append(Fault(f"fleet.racks[{i}].failure_domain", reason, remedy))
     return tuple(moved)
@@ -156,7 +156,7 @@
         reason = f"there is no failure domain {domain!r}"
         raise _Refused(path, reason, "Add it to the fleet first, or check the name.")
     if not isinstance(section, list | None):
-        raise _Refused(path, "it is no list of workers", "Write a list of workers.")
+        raise _Refused(path, "it is not a list of workers", "Write a list of workers.")
     section = section or []
     racks = map_racks(fleet)
     others = [each for each in fleet[WORKERS] if racks.get(each["rack"]) != domain]
@@ -188,19 +188,19 @@
     return tuple(faults)
 
 
-def _name_as_sent(fault: Fault, path: str, shift: int) -> Fault:
-    """Return a fault with the places of workers as the operator sent them."""
+def _translate_to_sent_path(fault: Fault, path: str, index_offset: int) -> Fault:
+    """Return a fault with the paths of workers as in the operator's request."""
     if not path.startswith(WORKERS_PREFIX):
         return fault
 
     def rename(found: re.Match[str]) -> str:
-        index = int(found[1]) - shift
+        index = int(found[1]) - index_offset
         return f"{path}[{index}]" if index >= 0 else found[0]
 
     return replace(
         fault,
-        path=PLACE_IN_FLEET.sub(rename, fault.path),
-        reason=PLACE_IN_FLEET.sub(rename, fault.reason),
+        path=WORKER_IN_FLEET.sub(rename, fault.path),
+        reason=WORKER_IN_FLEET.sub(rename, fault.reason),
     )
 
 
@@ -212,7 +212,7 @@
         if name not in names:
             reason = "there is no such team to remove"
             raise _Refused(path, reason, "Check the name.")
-        # Nothing refers to a team, so no other fault can come from its removal.
+        # Nothing refers to a team, so its removal causes no other fault.
         return _Change(before, before, path)
     if isinstance(section, dict) and section.get("name") != name:
         reason = "the team's name differs from its path"
--- a/src/primrosestile/decisions/settingscheck.py
+++ b/src/primrosestile/decisions/settingscheck.py
@@ -1,10 +1,10 @@
-"""Find every fault of a settings document before it is accepted.
+"""Validation of a settings document that reports all faults at once.
 
-An operator who is told one fault at a time mends a file in as many rounds as it
-has faults, at night, with work waiting. So the checks do not stop: the shape is
-checked by pydantic, which reports every mismatch, and the rules on names and
-bounds look at the raw document, so that one broken worker does not hide a broken
-guarantee. Only the rules that need whole records wait until the shape is right.
+With one reported fault at a time an operator needs as many attempts as there are
+faults, perhaps during an incident. So pydantic checks the structure and reports
+every mismatch, and the rules on names and bounds check the raw document, so that one
+malformed worker does not hide a malformed guarantee. Only the rules that need whole
+records require a valid structure.
 """
 
 import json
@@ -23,7 +23,7 @@
     UNIQUES,
     UniqueRule,
 )
-from primrosestile.decisions.settingscheckwhole import find_whole_faults
+from primrosestile.decisions.settingscheckwhole import find_record_faults
 from primrosestile.state.settings import (
     FLEET_PATH,
     GUARANTEES_PATH,
@@ -33,9 +33,9 @@
 
 Place = tuple[str | int, ...]
 
-ROOM_SECTIONS = (FLEET_PATH, GUARANTEES_PATH)
+CAPACITY_SECTIONS = (FLEET_PATH, GUARANTEES_PATH)
 PAGE = "docs/settings.md"
-# pydantic's fault types for which its own message says too little of what to do.
+# Remedies for pydantic's error types, whose own messages do not name one.
 REMEDIES = {
     "unexpected_keyword_argument": f"Remove the key, or correct its name by {PAGE}.",
     "missing": "Add the key.",
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing wrong with settings.
+    """One fault of a settings document.
 
     Attributes:
-        path: Where, such as `fleet.workers[3].rack`.
+        path: Its place in the document, such as `fleet.workers[3].rack`.
         reason: What is wrong there.
         remedy: What to do next, as a sentence.
     """
@@ -81,13 +81,13 @@
 
 
 def check_settings(settings: Settings, path: str) -> tuple[Fault, ...]:
-    """Return each fault of settings in force that a change of `path` can bring."""
+    """Return each fault of settings in force that a change of `path` can cause."""
     document = json.loads(msgspec.json.encode(settings))
-    return check_raw(document, needs_rooms(path))
+    return check_raw(document, affects_guarantee_capacity(path))
 
 
 def read_json(data: bytes) -> tuple[Any, tuple[Fault, ...]]:
-    """Return the JSON in a text, or its faults."""
+    """Return the parsed JSON, and its faults."""
     repeated: list[str] = []
 
     def build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -100,29 +100,29 @@
     except (ValueError, RecursionError) as error:
         remedy = "Correct the JSON there; no comments and no trailing commas."
         return None, (Fault("", f"it is not JSON: {error}", remedy),)
-    # Of two equal keys most readers keep one without a word, so the operator's
-    # other value would vanish.
+    # Most parsers silently keep one of two equal keys, so the operator's other value
+    # would be lost.
     return raw, tuple(
-        Fault(name, "the key stands twice in one object", "Keep one of them.")
+        Fault(name, "the key occurs twice in one object", "Keep one of them.")
         for name in sorted(repeated)
     )
 
 
-def needs_rooms(path: str) -> bool:
-    """Whether a change of a path has a part in what guarantees can hold.
+def affects_guarantee_capacity(path: str) -> bool:
+    """Whether a change of a path can affect whether the guarantees fit the fleet.
 
-    Seeking rooms for every guarantee takes long in a large fleet, so it is left
-    out for all other paths.
+    Checking that every guarantee fits takes long in a large fleet, so it is skipped
+    for all other paths.
     """
-    return path in ROOM_SECTIONS or path.startswith(WORKERS_PREFIX)
+    return path in CAPACITY_SECTIONS or path.startswith(WORKERS_PREFIX)
 
 
 def check_raw(raw: Any, rooms: bool = True) -> tuple[Fault, ...]:
-    """Return each fault of a document, whatever it is.
+    """Return each fault of a document, which may be any JSON value.
 
     Args:
         raw: Any JSON value.
-        rooms: Whether to ask if the fleet can hold all guarantees.
+        rooms: Whether to check that the fleet can hold all guarantees.
     """
     whole, faults = _check_shape(raw)
     faults += _check_numbers(raw)
@@ -130,11 +130,13 @@
     faults += _check_uniques(raw)
     faults += _check_references(raw)
     if whole is not None:
-        # Rooms can only be sought in a fleet whose figures and names are sound.
-        sound = rooms and not any(
-            fault.path.startswith(ROOM_SECTIONS) for fault in faults
+        # This check needs a fleet and guarantees without other faults.
+        capacity_checkable = rooms and not any(
+            fault.path.startswith(CAPACITY_SECTIONS) for fault in faults
         )
-        faults += [Fault(*each) for each in find_whole_faults(whole, sound)]
+        faults += [
+            Fault(*each) for each in find_record_faults(whole, capacity_checkable)
+        ]
     return tuple(faults)
 
 
@@ -171,9 +173,9 @@
         for place, value in _select(raw, rule.pattern):
             if not isinstance(value, str) or re.fullmatch(rule.expression, value):
                 continue
-            # The text itself is not repeated: it may be a token that was
-            # pasted where its hash belongs.
-            reason = f"the text is no {rule.meaning}"
+            # The text is not repeated: it may be a token that was entered in
+            # place of its hash.
+            reason = f"the text is not a valid {rule.meaning}"
             faults.append(Fault(format_place(place), reason, f"Use {rule.form}."))
     return faults
 
@@ -191,9 +193,9 @@
     for (_, value), places in seen.items():
         for place in places[rule.most :]:
             first = format_place(places[0])
-            # A key is not repeated: a token may stand where its hash belongs.
+            # A secret is not repeated: it may be a token in place of its hash.
             name = rule.meaning if rule.secret else f"{rule.meaning} {value!r}"
-            reason = f"{name} stands already at {first}"
+            reason = f"{name} is already used at {first}"
             yield Fault(format_place(place), reason, "Remove or rename one of them.")
 
 
@@ -215,10 +217,10 @@
 
 
 def _select(raw: Any, pattern: str) -> Iterator[tuple[Place, Any]]:
-    """Yield the place and value of each field that a pattern names.
+    """Yield the place and value of each field that matches a pattern.
 
-    What is missing or of another shape is passed over; the shape check has
-    reported it already.
+    Missing fields and those of another type are skipped; the structure check has
+    reported them already.
     """
     found: list[tuple[Place, Any]] = [((), raw)]
     for part in pattern.split("."):
--- a/src/primrosestile/decisions/settingscheckfields.py
+++ b/src/primrosestile/decisions/settingscheckfields.py
@@ -1,11 +1,10 @@
-"""What each setting means, its unit, its bounds, and what names must agree.
+"""Rules on single settings: unit, bounds, format, uniqueness and references.
 
-The checks and the operators' page are both made from these tables. A bound that
-stood only in code would be unknown to operators, and one that stood only on the
-page would not be kept.
+Both the validation and the operators' page are generated from these tables, so that
+every bound that is enforced is documented, and the other way round.
 
 A pattern such as `fleet.workers.*.rack` names one field of every worker; `*`
-stands for each item of a list.
+matches each item of a list.
 """
 
 from dataclasses import dataclass
@@ -13,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberRule:
-    """The bounds of one numeric setting, both included."""
+    """The inclusive bounds of one numeric setting."""
 
     pattern: str
     unit: str
@@ -24,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TextRule:
-    """The form of one text setting.
+    """The format of one text setting.
 
     Attributes:
         expression: Regular expression that the whole text must match.
@@ -39,13 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UniqueRule:
-    """Values that must differ from one another.
+    """Values that must be unique.
 
     Attributes:
         patterns: All fields that share one set of values.
-        scope: How many leading parts of the path the set is limited to; 0 is
-            the whole document.
-        most: How often one value may stand there.
+        scope: Number of leading parts of the path within which values are unique;
+            0 is the whole document.
+        most: How often one value may occur there.
         secret: Whether the value must not be repeated in a fault.
     """
 
@@ -58,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReferenceRule:
-    """A name that must stand elsewhere in the document."""
+    """A name that must be defined elsewhere in the document."""
 
     pattern: str
     target: str
@@ -163,9 +162,8 @@
     ),
 )
 
-# A holder keeps two keys while one replaces the other, so a rotation leaves no
-# moment at which neither the old nor the new token is valid. A third would be
-# an old one that was forgotten.
+# A holder has two keys during a rotation, so that there is no time at which neither
+# the old nor the new token is valid. A third would be an old one not removed.
 KEYS_PER_HOLDER = 2
 
 UNIQUES = (
--- a/src/primrosestile/decisions/settingscheckwhole.py
+++ b/src/primrosestile/decisions/settingscheckwhole.py
@@ -1,6 +1,6 @@
 """Rules on settings that need whole records: shapes, cells, capacity.
 
-They run once every record has the right form. Each yields `(path, reason,
+They run only on a document with a valid structure. Each yields `(path, reason,
 remedy)`.
 """
 
@@ -14,17 +14,17 @@
 Finding = tuple[str, str, str]
 
 
-def find_whole_faults(settings: Settings, rooms: bool) -> Iterator[Finding]:
+def find_record_faults(settings: Settings, check_capacity: bool) -> Iterator[Finding]:
     """Yield the faults of settings whose records are well-formed.
 
     Args:
         settings: The whole settings.
-        rooms: Whether to ask if the fleet can hold the guarantees; both must have
-            no other fault.
+        check_capacity: Whether to check that the fleet can hold the guarantees; both
+            must have no other fault.
     """
     yield from _check_cells(settings.fleet)
     yield from _check_shapes(settings.fleet, settings.guarantees)
-    if rooms:
+    if check_capacity:
         yield from _check_guarantees(settings.fleet, settings.guarantees)
     yield from _check_classes(settings)
     yield from _check_weights(settings)
@@ -35,7 +35,7 @@
     owned = {rack for cell in fleet.cells for rack in cell.racks}
     for i, rack in enumerate(fleet.racks):
         if rack.name not in owned:
-            # No placer would own its workers, so they would idle unseen.
+            # No placer would own its workers, so they would be idle unnoticed.
             reason = f"rack {rack.name!r} is in no cell"
             yield f"fleet.racks[{i}]", reason, "Add the rack to one cell."
     for i, cell in enumerate(fleet.cells):
@@ -44,7 +44,7 @@
 
 def _check_cell(path: str, cell: Cell, domains: dict[str, str]) -> Iterator[Finding]:
     if not cell.racks:
-        yield path, "a cell needs a rack", "Add a rack, or remove the cell."
+        yield path, "the cell has no racks", "Add a rack, or remove the cell."
     spanned = sorted({domains[rack] for rack in cell.racks if rack in domains})
     if len(spanned) > 1:
         reason = f"the cell spans failure domains {', '.join(spanned)}"
@@ -67,7 +67,7 @@
     room = measure_largest(fleet, shape.adjacency)
     if shape.accelerators > room:
         kind = shape.adjacency.value
-        reason = f"{shape.accelerators} accelerators fit in no one {kind}"
+        reason = f"{shape.accelerators} accelerators fit in no single {kind}"
         yield path, reason, f"Use at most {room}, or a wider adjacency."
 
 
@@ -102,10 +102,10 @@
         reason = "a request class has no shape"
         yield f"{path}.shape", reason, "Remove it, or set kind to 'gang'."
     if job_class.checkpoints:
-        reason = "a request can't save its progress"
+        reason = "requests cannot checkpoint"
         yield f"{path}.checkpoints", reason, "Set it to false."
     if job_class.expected_seconds > job_class.deadline_seconds:
-        # Every request of the class would be refused as too late on arrival.
+        # Every request of the class would be refused on arrival.
         reason = "the deadline is shorter than the expected run time"
         yield f"{path}.deadline_seconds", reason, "Raise it above expected_seconds."
 
--- a/src/primrosestile/decisions/settingsparts.py
+++ b/src/primrosestile/decisions/settingsparts.py
@@ -1,11 +1,11 @@
-"""Take settings apart into the values that are stored, and put a fleet together.
-
-A fleet of 15,000 workers is 2.5 MB of JSON, and the store holds a megabyte a value.
-So the workers of each failure domain are a value of their own. Two values can't be
-swapped as one: a process may see the workers of a new rack before it sees the rack,
-or for good, when two operators change both at the same moment. A gang placed on a
-worker that two cells count, or that none owns, would be lost or run twice. So only
-workers that fit the fleet in force count, and the others are named.
+"""Splitting of settings into stored values, and assembly of the fleet from them.
+
+A fleet of 15,000 workers is 2.5 MB of JSON, and the store allows one megabyte per
+value. So the workers of each failure domain are a value of their own. Two values
+cannot be changed atomically: a process may see the workers of a new rack before the
+rack, and if two operators change both at once the values may not match for good. A
+gang placed on a worker that two cells count, or that none owns, would be lost or run
+twice. So only workers that fit the fleet in force are used, and others are reported.
 """
 
 from collections.abc import Iterator, Mapping
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeftOut:
-    """A stored worker that does not count, since it does not fit the fleet.
+    """A stored worker that is not used, since it does not fit the fleet.
 
     Attributes:
-        path: Where it stands, such as `workers/leith`.
-        index: Its place in the list there.
-        reason: Why it does not count.
+        path: Where it is stored, such as `workers/leith`.
+        index: Its index in the list there.
+        reason: Why it is not used.
     """
 
     path: str
@@ -44,25 +44,25 @@
 ) -> tuple[Fleet, tuple[LeftOut, ...]]:
     """Return the fleet with the workers that fit it, and those that don't.
 
-    Workers stand in the order of their racks, whatever value came first.
+    Workers are in the order of their racks, whichever value was stored first.
 
     Args:
-        fleet: As stored. Workers in it are of the form that had all in one value;
-            they count where their failure domain has no value of its own.
+        fleet: As stored. Workers in it are of the older format with one value for
+            all; they are used where their failure domain has no value of its own.
         workers: The stored workers of each failure domain.
     """
     domains = {rack.name: rack.failure_domain for rack in fleet.racks}
     in_racks: dict[str, list[Worker]] = {rack.name: [] for rack in fleet.racks}
     names: set[str] = set()
     left_out = []
-    stored = {**_group_by_domain(fleet), **workers}
-    for domain in sorted(stored):
-        for index, worker in enumerate(stored[domain]):
+    by_domain = {**_group_by_domain(fleet), **workers}
+    for domain in sorted(by_domain):
+        for index, worker in enumerate(by_domain[domain]):
             reason = ""
             if domains.get(worker.rack) != domain:
                 reason = f"there is no rack {worker.rack!r} in this failure domain"
             elif worker.name in names:
-                reason = f"worker {worker.name!r} stands already at another path"
+                reason = f"worker {worker.name!r} is already listed"
             if reason:
                 path = f"{WORKERS_PREFIX}{domain}"
                 left_out.append(LeftOut(path, index, reason))
@@ -85,8 +85,8 @@
 def split_document(document: Mapping[str, Any]) -> Iterator[tuple[str, Any]]:
     """Yield each path of a checked document with its value.
 
-    A later value refers to earlier ones, so an empty store can take them in this
-    order one by one.
+    Values refer only to earlier ones, so they can be written one by one to an empty
+    store in this order.
     """
     if FLEET_PATH in document:
         yield from _split_fleet(document[FLEET_PATH])
@@ -115,32 +115,32 @@
 
 
 def list_load_steps(
-    document: Mapping[str, Any], stands: Mapping[str, Any]
+    document: Mapping[str, Any], stored: Mapping[str, Any]
 ) -> list[tuple[str, Any]]:
-    """Return the changes that bring stored settings to a document, in order.
+    """Return the changes that turn stored settings into a document, in order.
 
-    Each step must be valid by itself. A rack that leaves must be empty before the
-    fleet drops it, and a new one must stand before its workers do. So the workers
-    of racks that stay where they are come first, then the fleet, then all workers.
+    Each step must be valid by itself. A rack must be empty before it is removed from
+    the fleet, and a new one must exist before its workers. So the workers of racks
+    that keep their failure domain come first, then the fleet, then all workers.
 
     Args:
         document: A checked settings document.
-        stands: The stored value of each path; None for a removed one.
+        stored: The stored value of each path; None for a removed one.
 
     Returns:
-        Paths with values; None removes one. A path may come twice, and a value
-        may be the one that stands.
+        Paths with values; None removes one. A path may occur twice, and a value may
+        equal the stored one.
     """
     wanted = dict(split_document(document))
     steps: list[tuple[str, Any]] = []
     if FLEET_PATH in wanted:
-        racks = map_racks(stands.get(FLEET_PATH) or {})
+        racks = map_racks(stored.get(FLEET_PATH) or {})
         for path in (each for each in wanted if each.startswith(WORKERS_PREFIX)):
             domain = path.removeprefix(WORKERS_PREFIX)
             staying = [w for w in wanted[path] if racks.get(w["rack"]) == domain]
-            if staying or stands.get(path):
+            if staying or stored.get(path):
                 steps.append((path, staying))
-        for path, value in stands.items():
+        for path, value in stored.items():
             if path.startswith(WORKERS_PREFIX) and value and path not in wanted:
                 steps.append((path, None))
     return steps + list(wanted.items())
--- a/src/primrosestile/decisions/settingsview.py
+++ b/src/primrosestile/decisions/settingsview.py
@@ -1,10 +1,10 @@
-"""Settings indexed for those who ask them many times a second.
+"""Indexes over a settings snapshot for frequent look-ups.
 
-Settings are one frozen picture, replaced whole at each change: a few hundred
-thousand times a day nobody changes them, and each digest, request and submission
-asks which workers a cell has, what it is promised, or which team is meant. A scan
-of 15,000 workers for each would cost an entry more processor than control may use.
-So the answers are worked out once for each picture.
+Settings are a frozen snapshot that is replaced whole at each change. Changes are
+rare, but each digest, request and submission, a few hundred thousand a day, looks up
+the workers of a cell, its guaranteed shapes, or a team. A scan of 15,000 workers for
+each would take more of an entry's processor time than control may use. So the
+indexes are built once for each snapshot.
 """
 
 from collections.abc import Mapping
@@ -15,12 +15,12 @@
 from primrosestile.state.settings import Settings
 from primrosestile.state.tenancy import Adjacency, Shape, Team
 
-Promises = Mapping[str, tuple[tuple[str, Shape], ...]]
+GuaranteedShapes = Mapping[str, tuple[tuple[str, Shape], ...]]
 
 
 @dataclass(frozen=True, slots=True)
 class CellCapacity:
-    """The most accelerators of one cell when it is empty.
+    """The accelerators of one cell when it is empty.
 
     Attributes:
         worker: On its largest worker.
@@ -43,7 +43,7 @@
 
 
 class SettingsView:
-    """One picture of the settings, indexed.
+    """One settings snapshot, indexed.
 
     Attributes:
         cells: By name.
@@ -73,7 +73,7 @@
         self.capacity = {
             name: _measure(workers) for name, workers in self.workers_in.items()
         }
-        self._promises: dict[frozenset[str], Promises] = {}
+        self._guaranteed: dict[frozenset[str], GuaranteedShapes] = {}
 
     def _group_workers(self) -> dict[str, tuple[Worker, ...]]:
         cell_of = {
@@ -86,17 +86,19 @@
                 grouped[cell].append(worker)
         return {name: tuple(workers) for name, workers in grouped.items()}
 
-    def find_promises(self, lost_domains: frozenset[str] = frozenset()) -> Promises:
-        """Return the shapes promised in each cell, by organisation.
+    def find_promises(
+        self, lost_domains: frozenset[str] = frozenset()
+    ) -> GuaranteedShapes:
+        """Return the shapes guaranteed in each cell, with their organisations.
 
         Args:
-            lost_domains: Failure domains whose promises the others take over.
+            lost_domains: Failure domains whose guarantees the others take over.
         """
-        known = self._promises.get(lost_domains)
+        known = self._guaranteed.get(lost_domains)
         if known is None:
             settings = self.settings
             known = assign_guarantees(settings.fleet, settings.guarantees, lost_domains)
-            self._promises[lost_domains] = known
+            self._guaranteed[lost_domains] = known
         return known
 
 
@@ -111,16 +113,16 @@
     )
 
 
-class _Latest:
-    """The view of the picture asked about last; a process follows one picture."""
+class _LatestView:
+    """Cache of the latest view; a process uses one settings snapshot at a time."""
 
     view: SettingsView | None = None
 
 
 def view_settings(settings: Settings) -> SettingsView:
-    """Return the indexed form of a picture of the settings."""
-    view = _Latest.view
+    """Return the indexed view of a settings snapshot."""
+    view = _LatestView.view
     if view is None or view.settings is not settings:
         view = SettingsView(settings)
-        _Latest.view = view
+        _LatestView.view = view
     return view
--- a/src/primrosestile/decisions/slots.py
+++ b/src/primrosestile/decisions/slots.py
@@ -1,53 +1,52 @@
-"""How the slots of workers are shared among entries.
+"""Sharing of the workers' slots among entries.
 
-A worker serves a few short requests at once, and any entry may send to it. To
-ask somebody before each request would cost a round trip and fail with whoever
-is asked. So the owner of a cell grants each entry some slots of each worker for
-a few seconds, by demand, and an entry that has no fresh grant falls back to a
-share that all entries work out alike without a word between them.
+A worker serves a few short requests at once, and any entry may send to it. Asking a
+coordinator before each request would cost a round trip and fail with the
+coordinator. So the owner of a cell grants each entry some slots of each worker for a
+few seconds, by demand, and an entry without a fresh grant falls back to a safe share
+that all entries compute alike without communication.
 
 What bounds the overshoot:
 
 - Unexpired grants of one owner never exceed a worker's slots: the ledger counts
   every grant until it has lapsed, also one that was never delivered.
-- A new owner grants nothing until all grants of the one before have lapsed, and
+- A new owner grants nothing until all grants of its predecessor have lapsed, and
   counts each entry's safe share as granted for one more lifetime.
-- An entry that joins is told of no grant until all that was granted without it has
-  lapsed.
+- An entry that joins gets no grant until all that was granted without it has lapsed.
 - An entry whose grant lapsed uses the lesser of that grant and its safe share
   for one more lifetime. When an owner dies, this keeps the sum within the slots.
-- What remains is an entry that its living owner can not reach, or that joined a
-  moment ago: at most its own safe share, until it is granted again. The target
-  itself refuses what exceeds its slots, as not run.
+- The remaining overshoot is that of an entry which its living owner cannot reach, or
+  which has just joined: at most its own safe share, until its next grant. The target
+  itself refuses requests beyond its slots, as not run.
 """
 
 from collections.abc import Mapping, Sequence
 
 import xxhash
 
-# How long a grant holds. Three digests of an owner, sent each second, may be
-# lost before an entry falls back; a dead entry's slots are idle no longer.
+# Three digests of an owner, sent each second, may be lost before an entry falls back
+# to its safe share; the slots of a dead entry are idle for no longer than this.
 GRANT_SECONDS = 3.0
-# Added by the owner for the way to the entry, which counts from the arrival.
+# Added by the owner for delivery: the entry counts a grant's time from its arrival.
 DELIVERY_SECONDS = 1.0
-# Weight of keeping a slot with the entry that has it: less than one slot, so it
-# decides between near equals and connections are not opened without need.
+# Bonus in slots for the entry that has a slot already: below one, so it only breaks
+# near ties, and avoids opening connections without need.
 KEEP_BONUS = 0.5
 
-# A change of an entry's part by less than this share of an even part moves nothing.
-STEADY_SHARE = 0.1
-# How long after a change slots that were held may still come free: until the last
-# grant from before it has lapsed for certain, and one round more.
-SETTLE_SECONDS = GRANT_SECONDS + DELIVERY_SECONDS + 1.0
+# A change of an entry's part below this share of an even part changes no grants.
+MIN_CHANGE_SHARE = 0.1
+# How long after a change held slots may still come free: until the last grant from
+# before it has certainly lapsed, and 1 s for one more round.
+SHARING_SETTLE_SECONDS = GRANT_SECONDS + DELIVERY_SECONDS + 1.0
 
 Grants = Mapping[str, Mapping[str, int]]
 
 
 def rank_entries(worker: str, entries: Sequence[str]) -> list[str]:
-    """Return the entries in an order that is particular to the worker.
+    """Return the entries in the order of their rendezvous hashes for the worker.
 
-    Rendezvous hashing: each process gets the same order, and when an entry comes
-    or goes the others keep their places relative to one another.
+    Each process computes the same order, and when an entry joins or leaves the
+    others keep their relative order.
     """
     seed = xxhash.xxh64_intdigest(worker.encode())
     return sorted(
@@ -73,9 +72,9 @@
 ) -> dict[str, int]:
     """Return the slots that an entry may use without a grant, by worker.
 
-    The sum over entries that know the same entries is each worker's slots. With
-    more entries than slots, a worker's slots go to as many entries, one each:
-    this is also what bounds the connections of a worker as the fleet grows.
+    The shares of entries with the same list of entries sum to each worker's slots.
+    With more entries than slots, a worker's slots go to as many entries, one each,
+    which also bounds the connections of a worker as the fleet grows.
     """
     return {
         worker: share_one_safely(worker, count, entries, self_name)
@@ -86,10 +85,10 @@
 def count_needs(
     slots: Mapping[str, int], demand: Mapping[str, int], in_flight: Grants
 ) -> dict[str, int]:
-    """Return what each entry could have running now: what waits, and what runs.
+    """Return how many requests each entry has queued or running.
 
-    An entry whose queue is empty because its slots suffice needs those slots;
-    counted by its queue alone it would lose them and get them back in turns.
+    An entry whose queue is empty because its slots suffice needs those slots; with
+    its queue alone as demand it would alternately lose and regain them.
     """
     return {
         entry: waiting
@@ -103,16 +102,16 @@
 
 
 def divide_by_demand(total: int, demand: Mapping[str, int]) -> dict[str, float]:
-    """Return each entry's part of the slots: what it needs, at most its fair share.
+    """Return each entry's max-min fair part of the slots.
 
-    What nobody needs is divided evenly, so that an entry that has been quiet can
-    start a request at once.
+    Slots that no entry needs are divided evenly, so that an idle entry can start a
+    request at once.
     """
     parts = dict.fromkeys(demand, 0.0)
     left = float(total)
-    hungry = sorted(demand, key=lambda entry: demand[entry])
-    for position, entry in enumerate(hungry):
-        fair = left / (len(hungry) - position)
+    by_need = sorted(demand, key=lambda entry: demand[entry])
+    for position, entry in enumerate(by_need):
+        fair = left / (len(by_need) - position)
         parts[entry] = min(float(max(0, demand[entry])), fair)
         left -= parts[entry]
     for entry in parts:
@@ -128,15 +127,15 @@
 ) -> dict[str, dict[str, int]]:
     """Return the slots that each entry may use, by entry and worker.
 
-    Made for demand that the balancer spreads unevenly: one entry with a bulk
-    sender must not queue while the slots of others idle. The harm prevented is a
-    worker that is sent more than its slots. No slot is taken from an entry that
-    has it in use, or holds it by a grant that has not lapsed.
+    For demand that the load balancer spreads unevenly: an entry with a bulk sender
+    must not queue requests while the slots of others are idle. It never sends a
+    worker more than its slots: no slot is taken from an entry that uses it, or holds
+    it by a grant that has not lapsed.
 
     Args:
         slots: Of each usable worker.
-        needs: What each entry could have running.
-        in_flight: What runs and keeps its slots, by entry and worker.
+        needs: Requests that each entry has queued or running.
+        in_flight: Running requests that keep their slots, by entry and worker.
         held: Unexpired grants, by entry and worker.
     """
     shares: dict[str, dict[str, int]] = {entry: {} for entry in needs}
@@ -159,7 +158,7 @@
 def _reserve(
     worker: str, count: int, in_flight: Grants, held: Grants
 ) -> dict[str, int]:
-    """Return what can not be given to others on this worker."""
+    """Return each entry's slots on a worker that cannot be given to others."""
     reserved: dict[str, int] = {}
     free = count
     for entry, by_worker in sorted(held.items()):
@@ -176,7 +175,7 @@
 def _share_worker(
     count: int, reserved: Mapping[str, int], credit: dict[str, float]
 ) -> dict[str, int]:
-    """Give out one worker's slots one by one to whom most is due."""
+    """Assign one worker's slots one by one to the entry with the most credit."""
     free = count - sum(reserved.values())
     given = dict.fromkeys(credit, 0)
     for _ in range(count):
@@ -198,18 +197,18 @@
 
 
 class GrantLedger:
-    """What the owner of a cell has granted and must still count."""
+    """The grants of a cell's owner that may not have lapsed yet."""
 
     def __init__(self, quiet_until: float) -> None:
         self._quiet_until = quiet_until
         self._settled = False
         self._latest: dict[str, dict[str, int]] = {}
-        # By entry that joined: until when it is told of no grant.
-        self._untold_until: dict[str, float] = {}
+        # By entry that joined: until when no grant is sent to it.
+        self._withheld_until: dict[str, float] = {}
         self._shared_slots: dict[str, int] = {}
         self._settled_needs: Mapping[str, int] = {}
         self._changed_at = 0.0
-        # By entry and worker: (when it lapses for certain, slots).
+        # By entry and worker: (when it has certainly lapsed, slots).
         self._granted: dict[str, dict[str, list[tuple[float, int]]]] = {}
 
     def grant(
@@ -221,12 +220,12 @@
     ) -> dict[str, dict[str, int]]:
         """Return the grants to send now, each valid for `GRANT_SECONDS`.
 
-        An entry that is not among them is to use its safe share.
+        An entry without a grant uses its safe share.
 
         Args:
             slots: Of each usable worker of the cell.
-            demand: Requests that wait at each live entry; an entry left out gets
-                nothing.
+            demand: Requests that wait at each live entry; a missing entry gets no
+                slots.
             in_flight: By entry and worker.
             now: Seconds of the loop's clock.
         """
@@ -238,63 +237,63 @@
         else:
             self._note_joined(demand, now)
         needs = count_needs(slots, demand, in_flight)
-        if self._must_share_anew(slots, needs, now):
+        if self._must_share_again(slots, needs, now):
             self._latest = self._share(slots, in_flight, now)
-        told = {
+        sent = {
             entry: shares
             for entry, shares in self._latest.items()
-            if entry not in self._untold_until
+            if entry not in self._withheld_until
         }
-        self._note(told, now)
-        return told
+        self._note(sent, now)
+        return sent
 
     def _share(
         self, slots: Mapping[str, int], in_flight: Grants, now: float
     ) -> dict[str, dict[str, int]]:
-        """Return the shares of all entries, also of those that are not told yet.
+        """Return the shares of all entries, including those withheld.
 
-        Needs are taken as they were at the last change. Followed to the last
-        request, parts would differ by one slot each second, now on this worker and
-        now on that, and slots that come free would stay held.
+        It uses the needs of the last significant change. With the latest needs,
+        parts would differ by one slot each second, on changing workers, and slots
+        that come free would stay held.
 
-        What runs under a safe share keeps no slot, for the same reason: it moves
-        from worker to worker, and what others hold would move with it.
+        Requests running under a safe share keep no slot, for the same reason: they
+        change workers, and so would the slots that other entries hold.
         """
         kept = {
             entry: by_worker
             for entry, by_worker in in_flight.items()
-            if entry not in self._untold_until
+            if entry not in self._withheld_until
         }
         return share_slots(slots, self._settled_needs, kept, self.count_held(now))
 
     def _note_joined(self, demand: Mapping[str, int], now: float) -> None:
-        """Leave an entry that joins to its safe share until slots come free for it.
-
-        Made for a VM that is replaced, or added, when all slots are granted to the
-        other entries. They hold these until their grants lapse. Told that its part
-        is none, the new entry would refuse every request until then ("it would
-        start in 5.0 s") beside idle workers. The others hear within a second that
-        their parts have shrunk, so only for that long may more be sent to a worker
-        than it has slots, and what it refuses is tried elsewhere.
+        """Withhold grants from an entry that joins until slots come free for it.
+
+        For a VM that is replaced or added while all slots are granted to the other
+        entries, which hold them until their grants lapse. With a grant of no slots
+        the new entry would refuse every request until then ("it would start in
+        5.0 s") beside idle workers. The others receive their smaller grants within a
+        second, so only for that long may a worker be sent more requests than it has
+        slots, and those that it refuses are retried elsewhere.
         """
-        self._untold_until = {
+        self._withheld_until = {
             entry: until
-            for entry, until in self._untold_until.items()
+            for entry, until in self._withheld_until.items()
             if entry in demand and now < until
         }
         joined = demand.keys() - self._latest.keys()
         if joined and self.count_held(now).keys() - joined:
             until = now + GRANT_SECONDS + DELIVERY_SECONDS
-            self._untold_until.update(dict.fromkeys(joined, until))
+            self._withheld_until.update(dict.fromkeys(joined, until))
 
-    def _must_share_anew(
+    def _must_share_again(
         self, slots: Mapping[str, int], needs: Mapping[str, int], now: float
     ) -> bool:
-        """Whether the grants have to change, or can just be renewed.
+        """Whether to recompute the shares, or only renew the grants.
 
-        Made for thousands of workers: to share them all anew each second would
-        cost more than a fortieth of a core. While held grants still hide a
-        change that was asked for, and while demand moves, sharing goes on.
+        For thousands of workers: recomputing all shares each second would cost more
+        than a fortieth of a core. It continues while demand changes, and until the
+        grants held from before a change have lapsed.
         """
         if dict(slots) != self._shared_slots or needs.keys() != self._latest.keys():
             self._shared_slots = dict(slots)
@@ -304,12 +303,12 @@
         total = sum(slots.values())
         wanted = divide_by_demand(total, needs)
         before = divide_by_demand(total, self._settled_needs)
-        leeway = max(1.0, STEADY_SHARE * total / max(1, len(needs)))
-        if any(abs(wanted[entry] - before[entry]) > leeway for entry in wanted):
+        tolerance = max(1.0, MIN_CHANGE_SHARE * total / max(1, len(needs)))
+        if any(abs(wanted[entry] - before[entry]) > tolerance for entry in wanted):
             self._settled_needs = needs
             self._changed_at = now
             return True
-        return now <= self._changed_at + SETTLE_SECONDS
+        return now <= self._changed_at + SHARING_SETTLE_SECONDS
 
     def count_held(self, now: float) -> dict[str, dict[str, int]]:
         """Return the most that each entry may still hold, by entry and worker."""
@@ -340,7 +339,7 @@
             kept = self._granted.setdefault(entry, {})
             for worker, count in by_worker.items():
                 if count > 0:
-                    # A later and larger grant covers all that came before it.
+                    # Earlier grants of no more slots are covered by this one.
                     older = [each for each in kept.get(worker, ()) if each[1] > count]
                     kept[worker] = [*older, (until, count)]
 
--- a/src/primrosestile/decisions/watchers.py
+++ b/src/primrosestile/decisions/watchers.py
@@ -1,14 +1,14 @@
-"""Which processes watch the settings in the store, on behalf of the others.
+"""Which processes watch the settings in the store for all the others.
 
-The store counts each call, and a waiting watch as one. If every process watched,
-its load would grow with the fleet. So two processes of each failure domain watch
-and pass on what they see. Two, because one may be paused or cut off just when a
-change comes; in each domain, because domains fail as a whole.
+The store counts each call, and an open watch as one. If every process watched, the
+load of the store would grow with the fleet. So two processes of each failure domain
+watch and forward changes. Two, because one may be paused or partitioned when a
+change happens; in each domain, because domains fail as a whole.
 
-Every process works the choice out for itself from the list of live processes, by
-rendezvous hashing: nothing has to be agreed, and when a process comes or goes only
-its own place in the choice changes. Lists that differ for a moment make for one
-watcher more or less, which does no harm.
+Every process computes the choice from the list of live processes by rendezvous
+hashing: it needs no agreement, and when a process joins or leaves only its own rank
+changes. Processes whose lists differ for a moment choose one watcher more or less,
+which is harmless.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 ) -> tuple[str, ...]:
     """Return the names of a failure domain's watchers.
 
-    At most one process of a VM is chosen, since all of them end with the VM.
+    At most one process per VM is chosen, since all of them fail with the VM.
     """
     best: dict[str, tuple[int, str]] = {}
     for record in records:
