--- a/src/primrosestile/decisions/access.py
+++ b/src/primrosestile/decisions/access.py
@@ -79,8 +79,8 @@
 
     def __init__(self, settings: Settings) -> None:
         self._by_hash = {
-            found.sha256: found
-            for found in (*_list_callers(settings), *_list_operators(settings))
+            indexed.sha256: indexed
+            for indexed in (*_list_callers(settings), *_list_operators(settings))
         }
 
     def find(self, token: str) -> Rights | None:
@@ -88,10 +88,10 @@
         if not token or len(token) > TOKEN_LIMIT:
             return None
         digest = hash_token(token)
-        found = self._by_hash.get(digest)
-        if found is None or not hmac.compare_digest(found.sha256, digest):
+        indexed = self._by_hash.get(digest)
+        if indexed is None or not hmac.compare_digest(indexed.sha256, digest):
             return None
-        return found.rights
+        return indexed.rights
 
 
 class _LatestIndex:
@@ -145,7 +145,7 @@
     rights = require_rights(settings, header)
     if not rights.is_operator:
         raise Failure(
-            ErrorKind.FORBIDDEN, f"{rights.key_name!r} is not an operator key"
+            ErrorKind.FORBIDDEN, f"key {rights.key_name!r} is not an operator's"
         )
     return rights
 
--- a/src/primrosestile/decisions/outliers.py
+++ b/src/primrosestile/decisions/outliers.py
@@ -17,9 +17,9 @@
 # Weight of a new run; the average of logarithms settles within some twenty runs and
 # is robust against one long run.
 NEW_RUN_WEIGHT = 0.1
-# Weight of the age of a run that is far overdue. Such ages are rare by chance, so
-# two of them are enough to classify a target as slow, and one is not.
-OVERDUE_WEIGHT = 0.4
+# Weight of the age of a straggler. Stragglers are rare by chance, so two of them
+# are enough to classify a target as slow, and one is not.
+STRAGGLER_WEIGHT = 0.4
 # Runs before a target can be classified as slow: one long run is weak evidence.
 MIN_RUNS = 4
 # These keep the ratio and its logarithm finite for runs of no measurable time.
@@ -132,17 +132,17 @@
             now,
         )
 
-    def note_overdue(
+    def note_straggler(
         self, name: str, seconds: float, expected: float, now: float
     ) -> None:
-        """Record the age of a run that should have ended long ago."""
+        """Record the age of a straggler."""
         health = self._targets.get(name)
         if health is not None:
             self._record_ratio(
                 name,
                 health,
                 seconds / max(expected, MIN_EXPECTED_SECONDS),
-                OVERDUE_WEIGHT,
+                STRAGGLER_WEIGHT,
                 now,
             )
 
--- a/src/primrosestile/decisions/pacing.py
+++ b/src/primrosestile/decisions/pacing.py
@@ -9,18 +9,18 @@
 """
 
 # Three renewals within a lease tolerate one lost renewal and a slow second one.
-ROUNDS_PER_LEASE = 3
+POLLS_PER_LEASE = 3
 # While jobs wait. A preview or a reclaim has 5.8 s, of which this takes up to 1 s.
-BUSY_ROUND_SECONDS = 1.0
+BUSY_POLL_SECONDS = 1.0
 # Polls by one process. At 0.5 ms a poll this is 2% of a core.
-MOST_ROUNDS_PER_SECOND = 40.0
+MAX_POLLS_PER_SECOND = 40.0
 
 
 # Interval of digest requests between two placers while there are few of them.
 EXCHANGE_SECONDS = 2.0
 # Digest requests by one placer. At 0.4 ms for sending one and answering one, this is
 # 0.4% of a core.
-MOST_EXCHANGES_PER_SECOND = 10.0
+MAX_EXCHANGES_PER_SECOND = 10.0
 
 
 def choose_exchange_seconds(peers: int) -> float:
@@ -29,7 +29,7 @@
     For 9 to some hundred placers. The digests decide which other cell might suit a
     waiting job better, and this may be slower where there are more cells.
     """
-    return max(EXCHANGE_SECONDS, peers / MOST_EXCHANGES_PER_SECOND)
+    return max(EXCHANGE_SECONDS, peers / MAX_EXCHANGES_PER_SECOND)
 
 
 def choose_round_seconds(
@@ -42,9 +42,9 @@
         jobs_wait: Whether jobs wait for capacity in the worker's cell.
         workers_followed: By this process, over all its cells.
     """
-    idle_seconds = lease_seconds / ROUNDS_PER_LEASE
+    idle_seconds = lease_seconds / POLLS_PER_LEASE
     if not jobs_wait:
         return idle_seconds
     return min(
-        idle_seconds, max(BUSY_ROUND_SECONDS, workers_followed / MOST_ROUNDS_PER_SECOND)
+        idle_seconds, max(BUSY_POLL_SECONDS, workers_followed / MAX_POLLS_PER_SECOND)
     )
--- a/src/primrosestile/decisions/queueing.py
+++ b/src/primrosestile/decisions/queueing.py
@@ -59,7 +59,7 @@
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
-        self._lines = {urgency: FairLine() for urgency in Urgency}
+        self._queues = {urgency: FairLine() for urgency in Urgency}
         self._entries: dict[str, Entry] = {}
         self._latest_starts: list[tuple[float, str]] = []
         self._late: list[Waiting] = []
@@ -90,15 +90,15 @@
             detail = "a request with the same id is already queued"
             return Refusal(ErrorKind.IN_PROGRESS, detail, MIN_RETRY_AFTER_SECONDS)
         run = self._expect_run(waiting, now)
-        line = self._lines[waiting.urgency]
-        estimated = self._estimate_wait(waiting.urgency, line.work_ahead(waiting, run))
+        queue = self._queues[waiting.urgency]
+        estimated = self._estimate_wait(waiting.urgency, queue.work_ahead(waiting, run))
         wait = estimated * self._corrections[waiting.urgency].factor
         estimate = WaitEstimate(self._count_places(waiting), wait, run)
         refusal = decide_admission(waiting, estimate, now)
         if refusal is not None:
             return self._spread_retry(refusal, waiting, run, now)
         entry = Entry(waiting, run, now, estimated)
-        line.add(entry)
+        queue.add(entry)
         self._entries[waiting.request_id] = entry
         self._note_latest_start(waiting, run)
         if self._next_tail_check is None:
@@ -118,7 +118,7 @@
             accept: Whether a request can be placed now; if not, others are tried.
         """
         self._advance(now)
-        for urgency in self._order_lines():
+        for urgency in self._order_queues():
             entry = self._take_from(urgency, now, accept)
             if entry is not None and entry.waiting is not None:
                 self._charge(urgency, entry.work)
@@ -199,17 +199,17 @@
         return time_left / 2
 
     def _estimate_wait(self, urgency: Urgency, ahead: float) -> float:
-        """Return the seconds until the work ahead in one line has drained."""
+        """Return the seconds until the work ahead in one queue has drained."""
         rate = self._drain.estimate()
         share = self._policy.patient_share
         if urgency is Urgency.URGENT:
-            kept = share if self._lines[Urgency.PATIENT].count else 0.0
+            kept = share if self._queues[Urgency.PATIENT].count else 0.0
             return ahead / (rate * max(1 - kept, 0.01))
         # Patient work waits for all queued urgent work, or drains at its reserved
         # share. The estimate assumes that no more urgent work arrives, since a burst
         # ends and a refusal during it is final. If urgent work continues, the
         # correction factor adapts within some fifty requests.
-        urgent = self._lines[Urgency.URGENT]
+        urgent = self._queues[Urgency.URGENT]
         return min((ahead + urgent.work) / rate, ahead / (rate * max(share, 0.01)))
 
     def _count_places(self, waiting: Waiting) -> int:
@@ -219,7 +219,7 @@
         requests would take all memory and places, and those of others be refused.
         """
         free = self._policy.queue_limit - len(self._entries)
-        of_organisation, of_class = self._lines[waiting.urgency].count_of(waiting)
+        of_organisation, of_class = self._queues[waiting.urgency].count_of(waiting)
         organisation_room = int(ORGANISATION_PLACES_FACTOR * free) - of_organisation
         class_room = int(CLASS_PLACES_FACTOR * free) - of_class
         return min(free, organisation_room, class_room)
@@ -244,14 +244,14 @@
             wait *= 1 - noise / 2
         return replace(refusal, retry_after=max(MIN_RETRY_AFTER_SECONDS, wait))
 
-    def _order_lines(self) -> tuple[Urgency, Urgency]:
-        """Return the lines in the order in which they are served.
+    def _order_queues(self) -> tuple[Urgency, Urgency]:
+        """Return the urgencies in the order in which their queues are served.
 
         Urgent work is first unless patient work has credit. With a patient share of
         a fifth it earns a quarter of a second for each second of urgent work, so
         its head waits for at most four times its own run time of urgent work.
         """
-        patient = self._lines[Urgency.PATIENT]
+        patient = self._queues[Urgency.PATIENT]
         if patient.count and self._patient_credit > 0:
             return (Urgency.PATIENT, Urgency.URGENT)
         return (Urgency.URGENT, Urgency.PATIENT)
@@ -260,13 +260,13 @@
         if self._entries:
             self._drain.note_departure(work)
         share = self._policy.patient_share
-        if not self._lines[Urgency.PATIENT].count:
+        if not self._queues[Urgency.PATIENT].count:
             # Credit earned while no patient work is queued would later let a burst
             # of patient work go before urgent work.
             self._patient_credit = 0.0
         elif urgency is Urgency.URGENT:
             self._patient_credit += work * share / max(1 - share, 0.01)
-        elif self._lines[Urgency.URGENT].count:
+        elif self._queues[Urgency.URGENT].count:
             self._patient_credit -= work
 
     def _take_from(
@@ -275,8 +275,8 @@
         now: float,
         accept: Callable[[Waiting], bool] | None,
     ) -> Entry | None:
-        line = self._lines[urgency]
-        while line.count:
+        queue = self._queues[urgency]
+        while queue.count:
             late: list[str] = []
 
             def accept_in_time(waiting: Waiting, late: list[str] = late) -> bool:
@@ -285,7 +285,7 @@
                     return False
                 return accept is None or accept(waiting)
 
-            entry = line.take(accept_in_time)
+            entry = queue.take(accept_in_time)
             self._late += self.remove(late)
             if entry is not None and entry.waiting is not None:
                 del self._entries[entry.waiting.request_id]
@@ -323,8 +323,8 @@
         drain rate can no longer be served. Without it a caller would wait until its
         deadline although it was known at once that no answer would come.
         """
-        for urgency, line in self._lines.items():
-            for entries in list(line.class_entries()):
+        for urgency, queue in self._queues.items():
+            for entries in list(queue.class_entries()):
                 self._drop_late_tail(urgency, entries, now)
 
     def _drop_late_tail(
@@ -334,8 +334,8 @@
         total = sum(entry.work for entry in entries)
         if last is None or total <= 0:
             return
-        line = self._lines[urgency]
-        wait = self._estimate_wait(urgency, line.work_ahead(last, 0.0))
+        queue = self._queues[urgency]
+        wait = self._estimate_wait(urgency, queue.work_ahead(last, 0.0))
         if now + wait / LATE_TAIL_FACTOR <= last.deadline:
             return
         ahead = 0.0
@@ -360,7 +360,7 @@
         entry = self._entries.pop(request_id, None)
         if entry is None or entry.waiting is None:
             return None
-        return self._lines[entry.waiting.urgency].discard(entry)
+        return self._queues[entry.waiting.urgency].discard(entry)
 
 
 def make_queue(policy: Policy) -> RequestQueue:
--- a/src/primrosestile/decisions/routing.py
+++ b/src/primrosestile/decisions/routing.py
@@ -73,7 +73,7 @@
         self._capacity = Capacity(process_name)
         self._outliers = make_outliers(policy.quarantine_share)
         self._service_times = ServiceTimeEstimates()
-        self._overdue = OverdueWatch()
+        self._stragglers = OverdueWatch()
         self._paused_failing: set[str] = set()
         self._budget = make_retry_budget(policy.retry_ratio)
         # Randomness only spreads load, so a fixed seed is enough, and tests get the
@@ -133,9 +133,11 @@
         self._outliers.start_probe(target)
         times = self._service_times.find(waiting.class_key)
         if times is not None and times.count >= MIN_SAMPLES:
-            overdue_seconds = times.estimate_quantile(OVERDUE_QUANTILE) * OVERDUE_FACTOR
-            self._overdue.start(
-                Running(target, waiting.request_id, now, times.mean, overdue_seconds)
+            straggler_seconds = (
+                times.estimate_quantile(OVERDUE_QUANTILE) * OVERDUE_FACTOR
+            )
+            self._stragglers.start(
+                Running(target, waiting.request_id, now, times.mean, straggler_seconds)
             )
         self._headroom.start(target, waiting, self._expect_run(waiting))
 
@@ -150,13 +152,13 @@
         """Record the outcome of an attempt that was started."""
         self._advance(now)
         self._capacity.finish(target)
-        was_overdue = self._overdue.finish(target, waiting.request_id)
+        was_straggler = self._stragglers.finish(target, waiting.request_id)
         self._headroom.finish(target, waiting)
         if outcome is Outcome.OK:
             expected = self._service_times.estimate(waiting.class_key, seconds)
             self._service_times.note(waiting.class_key, seconds)
-            # An overdue run was already counted against the target by its age.
-            if not was_overdue:
+            # A straggler was already counted against the target by its age.
+            if not was_straggler:
                 self._outliers.note_run(target, seconds, expected, now)
         else:
             self._record_failed_attempt(target, outcome, now)
@@ -290,11 +292,11 @@
                 self._capacity.resume(paused)
             self._paused_failing.clear()
 
-    def _record_overdue(self, now: float) -> None:
-        found = self._overdue.collect(now)
+    def _record_stragglers(self, now: float) -> None:
+        found = self._stragglers.collect(now)
         for running in found:
             age = now - running.started_at
-            self._outliers.note_overdue(running.target, age, running.expected, now)
+            self._outliers.note_straggler(running.target, age, running.expected, now)
         if found:
             self._update_ejected()
 
@@ -304,7 +306,7 @@
 
     def _advance(self, now: float) -> None:
         self._capacity.advance(now)
-        self._record_overdue(now)
+        self._record_stragglers(now)
         self._headroom.advance(now)
 
 
--- a/src/primrosestile/decisions/servicetimes.py
+++ b/src/primrosestile/decisions/servicetimes.py
@@ -104,7 +104,7 @@
 
     PRIOR_SECONDS = 0.5
     # Keeps a wait finite when there is no slot at all.
-    MIN = 0.01
+    MIN_RATE = 0.01
 
     def __init__(self, slots: int, memory: float) -> None:
         """Start from the slots.
@@ -136,7 +136,7 @@
         """Return the seconds of work that leave per second, above zero."""
         work = self._work + self.slots * self.PRIOR_SECONDS
         rate = work / (self._time + self.PRIOR_SECONDS)
-        return max(self.MIN, min(rate, float(self.slots)))
+        return max(self.MIN_RATE, min(rate, float(self.slots)))
 
 
 class WaitCorrection:
@@ -149,8 +149,8 @@
     """
 
     WEIGHT = 0.02
-    MIN = 0.5
-    MAX = 8.0
+    MIN_RATIO = 0.5
+    MAX_RATIO = 8.0
     # A shorter wait is mostly noise.
     MIN_WAIT_SECONDS = 0.25
 
@@ -161,5 +161,5 @@
         """Record one request that left the queue, served or not."""
         if estimated < self.MIN_WAIT_SECONDS:
             return
-        ratio = min(self.MAX, max(self.MIN, waited / estimated))
+        ratio = min(self.MAX_RATIO, max(self.MIN_RATIO, waited / estimated))
         self.factor += self.WEIGHT * (ratio - self.factor)
--- a/src/primrosestile/decisions/settingschange.py
+++ b/src/primrosestile/decisions/settingschange.py
@@ -143,7 +143,7 @@
             continue
         domain = racks[name]
         if rack.get("failure_domain") != domain:
-            reason = f"the rack moves while workers/{domain} lists its workers"
+            reason = f"the rack moves but its workers are at workers/{domain}"
             remedy = "Remove them there, move the rack, then put them at the new path."
             moved.append(Fault(f"fleet.racks[{i}].failure_domain", reason, remedy))
     return tuple(moved)
--- a/src/primrosestile/decisions/slots.py
+++ b/src/primrosestile/decisions/slots.py
@@ -237,7 +237,7 @@
         else:
             self._note_joined(demand, now)
         needs = count_needs(slots, demand, in_flight)
-        if self._must_share_again(slots, needs, now):
+        if self._must_recompute_shares(slots, needs, now):
             self._latest = self._share(slots, in_flight, now)
         sent = {
             entry: shares
@@ -286,7 +286,7 @@
             until = now + GRANT_SECONDS + DELIVERY_SECONDS
             self._withheld_until.update(dict.fromkeys(joined, until))
 
-    def _must_share_again(
+    def _must_recompute_shares(
         self, slots: Mapping[str, int], needs: Mapping[str, int], now: float
     ) -> bool:
         """Whether to recompute the shares, or only renew the grants.
