--- a/features/doubles/requests.py
+++ b/features/doubles/requests.py
@@ -1,4 +1,4 @@
-"""Entries, a store and targets on one paused clock, and what must hold of them."""
+"""Entries, a store and targets on a virtual clock, and the oracle for them."""
 
 import asyncio
 import random
@@ -61,7 +61,7 @@
         )
         self.registration = Registration(store, self.lease, record)
         claims = Claims(store, f"{name}/{incarnation}", DirectoryCheck(self.directory))
-        # Retries are what may run a request twice, so they are not held back here.
+        # Retries may run a request twice, so the budget does not limit them here.
         policy = Policy(retry_ratio=1.0)
         self.dispatcher = Dispatcher(
             make_queue(policy), make_router(name, policy), targets, claims
@@ -97,12 +97,12 @@
 
 @dataclass(eq=False, slots=True)
 class Call:
-    """One sending of a request by its caller.
+    """One attempt of a caller to send a request.
 
     Attributes:
         answer: The whole answer, if there was one.
-        kind: Why there was none.
-        at: Loop time at which the caller was told.
+        kind: The error, if there was no answer.
+        at: Loop time at which the caller got the answer or error.
     """
 
     order: RequestOrder
@@ -116,14 +116,14 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request with all its sendings; `idempotent` work may run twice."""
+    """One request with all its attempts; idempotent work may run twice."""
 
     order: RequestOrder
     calls: list[Call] = field(default_factory=list)
 
 
 class Counter:
-    """Everything of one fuzzed run: a counter's clerks and their entries."""
+    """All parts of one fuzzed run: callers, entries, store and targets."""
 
     def __init__(self, seed: int = 0) -> None:
         random.seed(seed)
@@ -166,7 +166,7 @@
         self.send_again(len(self.requests) - 1, entry)
 
     def send_again(self, number: int, entry: str) -> None:
-        """Send a request under its id, as a caller does that heard nothing."""
+        """Send a request again under its id, as a caller without an answer does."""
         self.runner.run(self._send(self.requests[number], entry))
 
     async def _send(self, request: Request, entry: str) -> None:
@@ -198,7 +198,7 @@
         call.at = read_clock()
 
     def hang_up(self, number: int) -> None:
-        """Let a caller go away from the latest sending of a request."""
+        """Close the caller's connection of the latest attempt of a request."""
         task = self.requests[number].calls[-1].task
         if task is not None:
             self.runner.run(self._cancel(task))
@@ -251,11 +251,11 @@
         return [run for each in self.workers.values() for run in each.ledger.requests]
 
 
-# The oracle: a few lines a promise, over what targets wrote down and callers heard.
+# The oracle: checks over the targets' ledgers and the answers that callers got.
 
 
 def check_requests(world: Counter) -> None:
-    """Check every promise about requests that must hold at any moment."""
+    """Check every guarantee about requests that must hold at any time."""
     runs = world.list_runs()
     for request in world.requests:
         order = request.order
@@ -278,11 +278,11 @@
 def check_call(
     call: Call, earlier: list[Call], runs: list[RequestRun], reached: list[Reached]
 ) -> None:
-    """One caller hears the own whole answer, or the truth.
+    """Check that a caller got its own whole answer, or a true error.
 
-    "Not run" is true of this sending for ever and of all earlier ones up to now. A
-    later sending that overtook this one is its caller's own, and has an answer of
-    its own.
+    "Not run" must stay true of this attempt, and hold for all earlier ones up to the
+    time of the error. A later attempt that overtook this one is the caller's own and
+    has an answer of its own.
     """
     order = call.order
     if call.answer is not None:
@@ -290,24 +290,24 @@
         assert any(run.ok for run in runs), f"{order.request_id} has not run"
     if not call.not_run:
         return
-    by_this_call = list_runs_of([call], runs, reached)
+    by_this_call = find_caused_runs([call], runs, reached)
     assert not by_this_call, f"{order.request_id} was told {call.kind} and ran"
     if not order.idempotent:
-        by_earlier = list_runs_of(earlier, runs, reached)
+        by_earlier = find_caused_runs(earlier, runs, reached)
         before = [run for run in by_earlier if run.start <= call.at]
         assert not before, f"{order.request_id} was told {call.kind} and had run"
 
 
-def list_runs_of(
+def find_caused_runs(
     calls: list[Call], runs: list[RequestRun], reached: list[Reached]
 ) -> list[RequestRun]:
-    """Return the runs that came of some sendings."""
+    """Return the runs that some attempts caused."""
     arrivals = {(each.target, each.time) for each in reached if each.call in calls}
     return [run for run in runs if (run.worker, run.start) in arrivals]
 
 
 def check_answerable(world: Counter) -> None:
-    """With every fault gone, no id is shut out: it is answered, or known to be unknown.
+    """Check that without faults each id is answered, or its outcome is unknown.
 
     A request that never ran and is sent again runs.
     """
--- a/features/fuzzing/requests.py
+++ b/features/fuzzing/requests.py
@@ -1,4 +1,4 @@
-"""Hypothesis drives entries, store and targets into trouble; the oracle watches."""
+"""A Hypothesis state machine of requests under faults, checked by an oracle."""
 
 import sys
 
@@ -23,7 +23,7 @@
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """One run: each rule is an operation or a fault, then time passes."""
+    """Each rule is an operation or a fault, after which time passes."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/features/requests/machines.py
+++ b/features/requests/machines.py
@@ -1,4 +1,4 @@
-"""State machines that run the decisions against simple oracles."""
+"""Hypothesis state machines that check the decisions against simple oracles."""
 
 from typing import Any
 
@@ -35,7 +35,7 @@
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """One entry's queue and router; the oracle knows where each request is."""
+    """One entry's queue and router; the oracle tracks where each request is."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -120,17 +120,17 @@
             assert waiting.deadline >= self.now
             self.router.start(target, waiting, self.now)
             self.running.append((target, waiting))
-        # What turned out to be too late is handed back, as an entry asks for it.
+        # Collects requests that `take` found to be too late, as an entry does.
         if self.queue.next_check(self.now) == self.now:
             self.give_up()
         for waiting in self.list_heads():
             assert self.router.choose(waiting, self.now) is None, "left waiting"
 
     def list_heads(self) -> list[Waiting]:
-        """Return the oldest request that waits of each class.
+        """Return the oldest waiting request of each class.
 
-        A class keeps its order: one that could start now stays behind a longer one
-        that may not take the last slot.
+        A class keeps its order: a request that could start now stays behind a longer
+        one that may not take the last slot.
         """
         heads: dict[tuple[str, str, Urgency], Waiting] = {}
         for waiting in self.waiting.values():
@@ -182,7 +182,7 @@
 
     @rule(seconds=st.one_of(st.sampled_from((0.5, 1.0)), st.floats(0.01, 5.0)))
     def wait(self, seconds: float) -> None:
-        """Time passes, and the entry wakes up when the queue asked for it."""
+        """Time passes, and the entry wakes up at the queue's `next_check`."""
         until = self.now + seconds
         while (check := self.queue.next_check(self.now)) is not None and check <= until:
             self.now = max(self.now, check)
@@ -198,7 +198,7 @@
 
     @rule(seconds=st.floats(0.01, 5.0))
     def pause(self, seconds: float) -> None:
-        """The whole process stands still, and wakes to late requests."""
+        """The whole process is paused, and finds late requests afterwards."""
         self.now += seconds
         self.was_paused = True
 
@@ -244,7 +244,7 @@
 
 
 class GrantMachine(RuleBasedStateMachine):
-    """One cell's owners and the entries; messages are late, lost and reordered."""
+    """One cell's owners and the entries; messages are late, lost or reordered."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -253,9 +253,9 @@
         self.owner_since = self.now
         self.entries: list[str] = ["entry-1", "entry-2"]
         self.demand = dict.fromkeys(ENTRIES, 0)
-        # What each entry believes: when it lapses and slots, by worker.
-        self.believed: dict[str, tuple[float, dict[str, int]]] = {}
-        self.under_way: list[tuple[float, str, dict[str, int]]] = []
+        # Each entry's latest grant: when it lapses, and slots by worker.
+        self.received: dict[str, tuple[float, dict[str, int]]] = {}
+        self.in_flight_messages: list[tuple[float, str, dict[str, int]]] = []
 
     @rule(entry=st.sampled_from(ENTRIES), count=st.integers(0, 12))
     def change_demand(self, entry: str, count: int) -> None:
@@ -273,39 +273,41 @@
             if entry in lost:
                 continue
             if entry in late:
-                self.under_way.append((self.now, entry, by_worker))
+                self.in_flight_messages.append((self.now, entry, by_worker))
             else:
-                self.believed[entry] = (self.now + GRANT_SECONDS, by_worker)
+                self.received[entry] = (self.now + GRANT_SECONDS, by_worker)
 
     def use_slots(self, entry: str) -> dict[str, int]:
-        """Return what runs at each worker: all that the entry may use."""
-        until, by_worker = self.believed.get(entry, (0.0, {}))
+        """Return the requests running at each worker: as many as the entry may have."""
+        until, by_worker = self.received.get(entry, (0.0, {}))
         if until <= self.now:
             by_worker = share_safely(CELL, self.entries, entry)
         return {
             name: min(count, self.demand[entry]) for name, count in by_worker.items()
         }
 
-    @precondition(lambda self: self.under_way)
+    @precondition(lambda self: self.in_flight_messages)
     @rule(data=st.data())
     def deliver(self, data: Any) -> None:
-        place = data.draw(st.integers(0, len(self.under_way) - 1))
-        sent, entry, by_worker = self.under_way.pop(place)
+        place = data.draw(st.integers(0, len(self.in_flight_messages) - 1))
+        sent, entry, by_worker = self.in_flight_messages.pop(place)
         if sent + DELIVERY_SECONDS >= self.now and entry in self.entries:
-            self.believed[entry] = (self.now + GRANT_SECONDS, by_worker)
+            self.received[entry] = (self.now + GRANT_SECONDS, by_worker)
 
     @rule(seconds=st.floats(0.05, 2.0))
     def wait(self, seconds: float) -> None:
-        """Time passes; what is under way comes at the last moment allowed."""
+        """Time passes; messages in flight arrive at the end of the delivery time."""
         self.now += seconds
-        for sent, entry, by_worker in self.under_way:
+        for sent, entry, by_worker in self.in_flight_messages:
             arrives = sent + DELIVERY_SECONDS
             if arrives <= self.now and entry in self.entries:
-                until, _ = self.believed.get(entry, (0.0, {}))
+                until, _ = self.received.get(entry, (0.0, {}))
                 if until < arrives + GRANT_SECONDS:
-                    self.believed[entry] = (arrives + GRANT_SECONDS, by_worker)
-        self.under_way = [
-            each for each in self.under_way if each[0] + DELIVERY_SECONDS > self.now
+                    self.received[entry] = (arrives + GRANT_SECONDS, by_worker)
+        self.in_flight_messages = [
+            each
+            for each in self.in_flight_messages
+            if each[0] + DELIVERY_SECONDS > self.now
         ]
 
     @rule(entry=st.sampled_from(ENTRIES))
@@ -316,11 +318,11 @@
     @precondition(lambda self: len(self.entries) > 1)
     @rule(data=st.data(), dies=st.booleans())
     def lose(self, data: Any, dies: bool) -> None:
-        """An entry is no longer listed; unless it died, it goes on all the same."""
+        """An entry is no longer listed; unless it died, it continues to send."""
         entry = data.draw(st.sampled_from(self.entries))
         self.entries.remove(entry)
         if dies:
-            self.believed.pop(entry, None)
+            self.received.pop(entry, None)
 
     @precondition(lambda self: self.now > self.owner_since + GRANT_SECONDS)
     @rule()
@@ -333,10 +335,10 @@
         for worker, slots in CELL.items():
             total = sum(
                 by_worker.get(worker, 0)
-                for until, by_worker in self.believed.values()
+                for until, by_worker in self.received.values()
                 if until > self.now
             )
-            assert total <= slots, (worker, total, self.believed)
+            assert total <= slots, (worker, total, self.received)
 
     @invariant()
     def safe_shares_fit_each_worker(self) -> None:
@@ -346,7 +348,7 @@
 
 
 def run_machine(machine: type[RuleBasedStateMachine], examples: int) -> None:
-    """Run one machine with the same choices each time."""
+    """Run one machine with the same choices in each run."""
     bounds = settings(
         derandomize=True,
         database=None,
--- a/features/requests/quarantine.feature
+++ b/features/requests/quarantine.feature
@@ -1,42 +1,43 @@
-Feature: Bad workers are told from bad jobs
+Feature: Quarantine of bad workers, and poison jobs
 
-  Scenario: A worker that fails what succeeds elsewhere is put in quarantine
+  Scenario: A worker that fails work which succeeds elsewhere is put in quarantine
     A worker with a broken accelerator fails every task within a second, so it is
-    free again first and draws in job after job.
+    always the first to be free and attracts job after job.
     Given a ledger of 16 workers
     When 5 jobs fail on "worker-3" and succeed on "worker-4"
     Then "worker-3" alone is in quarantine
 
-  Scenario: A job that fails everywhere condemns no worker
-    A render with a broken scene fails wherever it starts. If the workers were
-    blamed, one job could put a whole cell out of use.
+  Scenario: A job that fails everywhere puts no worker in quarantine
+    A render with a broken scene fails wherever it starts. If its failures counted
+    against the workers, one job could put a whole cell out of use.
     Given a ledger of 16 workers
     When job "broken" fails on every worker 4 times while others succeed there
     Then no worker is in quarantine
-    And "broken" is called a bad job and "job-1" is not
+    And "broken" is a bad job and "job-1" is not
 
   Scenario: One class of short requests is enough to find a bad worker
-    Where all requests are of one class, there is nothing to cross but workers.
+    If all requests are of one class, only its results on other workers show that a
+    worker is at fault.
     Given a ledger of 16 workers
     When class "quote" fails 8 times on "worker-3" and succeeds on all others
     Then "worker-3" alone is in quarantine
 
-  Scenario: A class that fails half of the time condemns no worker
-    Its failures fall on all workers alike; one of them would be blamed by chance.
+  Scenario: A class that fails half of the time puts no worker in quarantine
+    Its failures are spread over all workers evenly, so none of them is at fault.
     Given a ledger of 16 workers
     When class "flaky" fails each second of 20 runs on every worker
     Then no worker is in quarantine
 
   Scenario: No more than a quarter of a cell is in quarantine
-    A bad release makes half of the workers fail. With all of them out of use, the
-    cell could not hold what its organisations were promised.
+    A bad release makes half of the workers fail. With all of them in quarantine, the
+    cell could not hold its organisations' guarantees.
     Given a ledger of 16 workers
     When 8 jobs fail on each of the first 8 workers and succeed on the others
     Then 4 workers are in quarantine
 
-  Scenario: Canaries let a mended worker back, and rest is longer after a failure
-    A worker is mended. Without a try it would never work again; with ordinary
-    work as the try, a job would be lost if it is not mended.
+  Scenario: Canaries release a repaired worker, and a failed one delays the next
+    Without a test run a repaired worker would stay in quarantine for ever; with
+    ordinary work as the test, a job would be lost if the worker still fails.
     Given a ledger of 16 workers
     When 5 jobs fail on "worker-3" and succeed on "worker-4"
     Then a canary may run on "worker-3" after 30 seconds and not before
@@ -45,9 +46,9 @@
     When 3 canaries succeed on "worker-3"
     Then no worker is in quarantine
 
-  Scenario: A smaller share in the settings lets workers back
-    An operator lowers the share while workers are in quarantine. An accepted
-    setting holds everywhere, for what was decided before as well.
+  Scenario: A smaller share in the settings releases workers
+    An operator lowers the share while workers are in quarantine. An accepted setting
+    also applies to earlier decisions.
     Given a ledger of 16 workers
     When 8 jobs fail on each of the first 8 workers and succeed on the others
     And the share for quarantine is set to 2 of 16
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -78,11 +78,11 @@
     assert share >= part / 100, share
 
 
-@then("fewer than {part:d} in 100 requests are let in and then given up")
-def check_given_up(context: Any, part: int) -> None:
+@then("fewer than {part:d} in 100 requests are admitted and then dropped")
+def check_dropped(context: Any, part: int) -> None:
     results = context.outcome.results
-    given_up = sum(each.outcome == "given_up" for each in results)
-    assert given_up < part / 100 * len(results), given_up
+    dropped = sum(each.outcome == "given_up" for each in results)
+    assert dropped < part / 100 * len(results), dropped
 
 
 @then('at least {part:d} in 100 requests of "{names}" are answered in time')
@@ -111,19 +111,19 @@
     assert context.outcome.attempts <= (1 + part / 100) * first
 
 
-@then("a worker that said it leaves gets at most one more request from each entry")
+@then("a worker that reported leaving gets at most one more request from each entry")
 def check_leaving(context: Any) -> None:
-    # What was sent before the worker's answer came is refused by it as not run.
+    # The worker refuses, as not run, requests sent before its report arrived.
     plan = find_plan("half-the-fleet-leaves")
     assert context.outcome.refused_by_workers <= len(plan.leaving) * plan.entries
 
 
-@then("{count:d} runs of the request machine keep to the oracle")
+@then("{count:d} runs of the request machine agree with the oracle")
 def check_request_machine(context: Any, count: int) -> None:
     run_machine(RequestMachine, count)
 
 
-@then("{count:d} runs of the grant machine keep to the oracle")
+@then("{count:d} runs of the grant machine agree with the oracle")
 def check_grant_machine(context: Any, count: int) -> None:
     run_machine(GrantMachine, count)
 
@@ -159,7 +159,7 @@
 def fill_both(context: Any, urgent: int, patient: int) -> None:
     for number in range(urgent):
         waiting = make_waiting(f"u{number}", deadline=1000.0)
-        # Let in as far as the queue allows; the rest are offered as it empties.
+        # Admitted as far as the queue allows; more are offered as it drains.
         context.queue.offer(waiting, 0.0)
     for number in range(patient):
         waiting = make_waiting(f"p{number}", urgency=Urgency.PATIENT, deadline=1000.0)
@@ -219,33 +219,33 @@
     assert context.queue.offer(waiting, 0.0) is None
 
 
-@when("{count:d} urgent requests arrive at once and the refused come back as told")
-def come_back(context: Any, count: int) -> None:
-    returns = []
+@when("{count:d} urgent requests arrive at once and the refused retry as told")
+def retry_refused(context: Any, count: int) -> None:
+    retries = []
     for number in range(count):
         refusal = context.queue.offer(make_waiting(number), 0.0)
         if refusal is not None:
-            returns.append((refusal.retry_after, number))
-    context.returned = len(returns)
-    context.let_in = 0
-    returns.sort()
+            retries.append((refusal.retry_after, number))
+    context.retried = len(retries)
+    context.admitted = 0
+    retries.sort()
     for step in range(1, 600):
         now = step * 0.125
         # Eight slots and runs of one second: one leaves each eighth of a second.
         taken = context.queue.take(now)
         if taken is not None:
             context.queue.note_served(taken, 1.0, now)
-        while returns and returns[0][0] <= now:
-            _, number = returns.pop(0)
+        while retries and retries[0][0] <= now:
+            _, number = retries.pop(0)
             again = make_waiting(f"again-{number}", now)
-            context.let_in += context.queue.offer(again, now) is None
+            context.admitted += context.queue.offer(again, now) is None
 
 
-@then("at least {part:d} in 100 of those that come back are let in")
-def check_let_in(context: Any, part: int) -> None:
-    assert context.returned > 50
-    share = context.let_in / context.returned
-    assert share >= part / 100, (context.let_in, context.returned)
+@then("at least {part:d} in 100 of the retries are admitted")
+def check_admitted(context: Any, part: int) -> None:
+    assert context.retried > 50
+    share = context.admitted / context.retried
+    assert share >= part / 100, (context.admitted, context.retried)
 
 
 @given("{count:d} patient requests of one second wait")
@@ -258,58 +258,60 @@
 @when("only {slots:d} slots are left for {seconds:d} seconds")
 def lose_slots(context: Any, slots: int, seconds: int) -> None:
     context.queue.set_slots(slots)
-    context.given_up = []
+    context.dropped = []
     for step in range(1, seconds * 4 + 1):
         now = step / 4
         if step % (4 // slots) == 0:
             context.queue.take(now)
         for waiting, _ in context.queue.give_up(now):
-            context.given_up.append((now, waiting))
+            context.dropped.append((now, waiting))
 
 
 @then(
-    "at least {count:d} requests have been given up, each {seconds:d} seconds "
+    "at least {count:d} requests have been dropped, each {seconds:d} seconds "
     "before its deadline"
 )
-def check_told_early(context: Any, count: int, seconds: int) -> None:
-    assert len(context.given_up) >= count, len(context.given_up)
-    assert all(now + seconds <= each.deadline for now, each in context.given_up)
+def check_dropped_early(context: Any, count: int, seconds: int) -> None:
+    assert len(context.dropped) >= count, len(context.dropped)
+    assert all(now + seconds <= each.deadline for now, each in context.dropped)
 
 
 @when("a class has taken {seconds:d} seconds in each of {count:d} runs")
 def learn_slow(context: Any, seconds: int, count: int) -> None:
     for number in range(count):
         context.queue.note_served(make_waiting(number), float(seconds), 0.0)
-    # The first one finds out; the next ones are refused by experience.
+    # The first one is admitted as a probe; the next is refused by measured run times.
     context.queue.offer(make_waiting("probe"), 0.0)
     assert context.queue.offer(make_waiting("refused"), 0.0) is not None
 
 
 @when("it is offered each second, and takes one second when it runs")
 def offer_steadily(context: Any) -> None:
-    context.let_in_at = []
+    context.admitted_at = []
     for second in range(1, 121):
         for number in range(4):
             waiting = make_waiting(f"{second}-{number}", float(second))
             if context.queue.offer(waiting, float(second)) is None and number == 3:
-                context.let_in_at.append(second)
+                context.admitted_at.append(second)
         while waiting := context.queue.take(float(second)):
             context.queue.note_served(waiting, 1.0, float(second))
 
 
-@then("it is let in again within {seconds:d} seconds")
+@then("it is admitted again within {seconds:d} seconds")
 def check_recovered(context: Any, seconds: int) -> None:
-    assert context.let_in_at and context.let_in_at[0] <= seconds, context.let_in_at[:1]
+    assert context.admitted_at and context.admitted_at[0] <= seconds, (
+        context.admitted_at[:1]
+    )
 
 
-@when("all but each tenth are cancelled in one wave")
-def cancel_wave(context: Any) -> None:
-    wave = [f"request-{number}" for number in range(2500) if number % 10]
-    removed = context.queue.remove(wave)
-    assert [each.request_id for each in removed] == wave
+@when("all but each tenth are cancelled at once")
+def cancel_many(context: Any) -> None:
+    cancelled = [f"request-{number}" for number in range(2500) if number % 10]
+    removed = context.queue.remove(cancelled)
+    assert [each.request_id for each in removed] == cancelled
 
 
-@then("the rest leave in their old order")
+@then("the rest leave in their original order")
 def check_order(context: Any) -> None:
     left = []
     while waiting := context.queue.take(0.5):
@@ -333,9 +335,9 @@
 ) -> float:
     context.ledger = make_grant_ledger(0.0, took_over=False)
     for second in range(rounds):
-        # They hear of it one after another, within the time allowed for it.
-        heard = [float(second) + late * number for number in (1, 2, 3)]
-        send_grants(context, demands, float(second), heard)
+        # The entries receive it one after another, within the delivery time.
+        received = [float(second) + late * number for number in (1, 2, 3)]
+        send_grants(context, demands, float(second), received)
     return float(rounds - 1)
 
 
@@ -343,12 +345,13 @@
     context: Any,
     demands: list[int],
     now: float,
-    heard: list[float | None],
+    received: list[float | None],
     in_flight: dict[str, dict[str, int]] | None = None,
 ) -> None:
     demand = dict(zip(context.names, demands, strict=True))
     grants = context.ledger.grant(context.slots, demand, in_flight or {}, now)
-    for name, entry, time in zip(context.names, context.allowances, heard, strict=True):
+    rows = zip(context.names, context.allowances, received, strict=True)
+    for name, entry, time in rows:
         if time is not None:
             grant = Grant(grants[name], time + GRANT_SECONDS, GRANT_SECONDS)
             entry.set_grant(context.slots, grant, time)
@@ -356,7 +359,7 @@
 
 
 @when(
-    "the owner grants by a demand of {a:d}, {b:d} and {c:d} and is heard "
+    "the owner grants by a demand of {a:d}, {b:d} and {c:d}, received "
     "{late:d} second late"
 )
 def grant_late(context: Any, a: int, b: int, c: int, late: int) -> None:
@@ -377,8 +380,8 @@
         send_grants(context, [0, 0, 0], now, [now] * 3, running)
 
 
-@when("it grants by a demand of {a:d}, {b:d} and {c:d}, of which entry 1 hears nothing")
-def cut_unheard(context: Any, a: int, b: int, c: int) -> None:
+@when("it grants by a demand of {a:d}, {b:d} and {c:d}, which entry 1 does not receive")
+def grant_without_first(context: Any, a: int, b: int, c: int) -> None:
     context.moments = []
     for step in range(1, 60):
         now = context.died + step * 0.2
@@ -472,8 +475,8 @@
     router.finish(target, waiting, ended, 0.1, now)
 
 
-@when('"{target}" says that it leaves')
-def say_leaving(context: Any, target: str) -> None:
+@when('"{target}" reports that it is leaving')
+def report_leaving(context: Any, target: str) -> None:
     end_at(context.router, target, Ended.LEAVING)
 
 
@@ -502,7 +505,7 @@
 
 
 @then("at most {most:d} of {count:d} requests within a second are sent there")
-def check_spared(context: Any, most: int, count: int) -> None:
+def check_paused(context: Any, most: int, count: int) -> None:
     sent = 0
     for number in range(count):
         now = number / count
@@ -530,14 +533,14 @@
 
 
 @then('after {seconds:d} seconds a non-idempotent request avoids "{target}"')
-def check_no_try(context: Any, seconds: int, target: str) -> None:
+def check_no_probe(context: Any, seconds: int, target: str) -> None:
     for number in range(60):
         waiting = make_waiting(number, urgency=Urgency.PATIENT, idempotent=False)
         assert context.router.choose(waiting, float(seconds)) != target
 
 
 @then('after {seconds:d} seconds a patient idempotent request goes to "{target}"')
-def check_try(context: Any, seconds: int, target: str) -> None:
+def check_probe(context: Any, seconds: int, target: str) -> None:
     context.waiting = make_waiting("try", urgency=Urgency.PATIENT)
     assert context.router.choose(context.waiting, float(seconds)) == target
 
@@ -665,7 +668,7 @@
     assert len(context.ledger.decide(context.workers, context.now)) == count
 
 
-@then('"{bad}" is called a bad job and "{good}" is not')
+@then('"{bad}" is a bad job and "{good}" is not')
 def check_bad_job(context: Any, bad: str, good: str) -> None:
     assert context.ledger.is_bad_job(bad)
     assert not context.ledger.is_bad_job(good)
@@ -697,7 +700,7 @@
     context.overdue.start(Running("target-1", "r1", 10.0, 0.0, 0.0))
 
 
-@when("attempts that run too long are looked for at this moment")
+@when("stragglers are collected at this moment")
 def collect_quick_attempt(context: Any) -> None:
     context.finder = threading.Thread(
         target=context.overdue.collect, args=(10.0,), daemon=True
@@ -705,8 +708,8 @@
     context.finder.start()
 
 
-@then("the search ends")
-def check_search_ended(context: Any) -> None:
+@then("the collection ends")
+def check_collection_ended(context: Any) -> None:
     context.finder.join(timeout=10.0)
     assert not context.finder.is_alive()
 
