--- a/features/settings/access.feature
+++ b/features/settings/access.feature
@@ -1,7 +1,7 @@
-Feature: A token gives the rights that the settings in force name, and no more
+Feature: A token gives exactly the rights in the current settings
 
-  A request without rights is refused before it costs anything. Were the check
-  late or dear, strangers could crowd out the callers.
+  A request without rights is refused first and cheaply. If the check came late or
+  cost much, unauthenticated requests could crowd out the callers.
 
   Scenario Outline: Each token gives its rights
     Given the settings of the domeworks example for access
@@ -15,36 +15,36 @@
       | Basic demo-domeworks-operator         | none                          |
       | Bearer                                | none                          |
 
-  Scenario: An old key and a new one are both valid while a holder changes over
-    If the old token ended before the new one was in use, the team's requests
+  Scenario: An old and a new key are both valid during a rotation
+    If the old token became invalid before the new one is used, the team's requests
     would be refused in between.
     Given the settings of the domeworks example for access
     When team dome-operations gets a second key for its holder
     Then both tokens of dome-operations give the same rights
     And a third key for the same holder is a settings fault
-    When the first key of dome-operations is taken away
+    When the first key of dome-operations is removed
     Then only the new token of dome-operations gives rights
 
-  Scenario: A team's subtree can't make an operator
+  Scenario: A team's own keys can't give operator rights
     Given the settings of the domeworks example for access
     When team dome-operations gives its own key the scope operator
-    Then its token gives no operator's rights and the change is a settings fault
+    Then its token gives no operator rights and the change is a settings fault
 
-  Scenario: An organisation's key acts for each team of it and no other
+  Scenario: An organisation's key acts for all of its teams and no other
     Given the settings of the domeworks example for access
     When team show-production gives its own key the scope organisation
     Then its token acts for show-production and not for school-sessions
 
-  Scenario: A stranger's endless token is not even hashed
+  Scenario: An overlong token is refused without hashing
     Given the settings of the domeworks example for access
     Then a token of a million letters gives no rights without being hashed
 
-  Scenario: The keys between processes show in no text and no log line
-    A person logs the settings of a process, or a fault of the program is logged with
-    its trace. Whoever reads the logs could then speak as one of our processes.
+  Scenario: The keys between processes appear in no text and no log line
+    The settings of a process are logged, or an exception with its traceback. With
+    the keys in it, a reader of the logs could impersonate one of our processes.
     Then no secret shows in the settings of a process, or in a line or trace logged
 
-  Scenario: The time to come back is never shorter than it was reckoned
-    A caller who comes back within the time is refused again, and a crowd of them
-    keeps a queue full that had room a moment later.
+  Scenario: The Retry-After header is never shorter than the computed time
+    A caller that retries earlier is refused again, and many such callers keep a
+    queue full that would have places a moment later.
     Then a wait of 1.2 seconds is answered as 2, and of 0.1 seconds as 1
--- a/features/settings/check.feature
+++ b/features/settings/check.feature
@@ -1,9 +1,9 @@
-Feature: Every fault of a settings file is shown, with what to do
+Feature: Every fault of a settings file is reported with a remedy
 
-  An operator edits the settings of a deployment by hand, at night, with work
-  waiting. If the check stopped at the first fault, or let one through, the file
-  would be mended in many rounds, or guarantees would be promised that the fleet
-  cannot hold.
+  An operator edits the settings of a deployment by hand, perhaps during an
+  incident. If the check stopped at the first fault, correcting the file would take
+  many attempts; if it missed one, guarantees could be accepted that the fleet cannot
+  hold.
 
   Scenario Outline: The example deployments have no fault
     Given the settings file of the <name> example
@@ -15,8 +15,8 @@
       | domeworks   |
       | thistlegate |
 
-  Scenario: A file with many faults shows each of them
-    Several hands have edited one file. Whoever mends it wants the whole list.
+  Scenario: All faults of a file are reported
+    Several operators have edited one file, and it has many faults at once.
     Given the settings file of the domeworks example
     And in it fleet.workers[0].rack is "nowhere"
     And in it fleet.workers[1].accelerators is "eight"
@@ -28,7 +28,7 @@
     And in it policy.patient_share is 20
     And in it teams[1].classes[0].urgency is "soon"
     When the settings file is checked
-    Then the settings faults stand exactly at
+    Then the settings faults are exactly at
       | path                          |
       | fleet.workers[0].rack         |
       | fleet.workers[1].accelerators |
@@ -39,13 +39,13 @@
       | teams[0].organisation         |
       | policy.patient_share          |
       | teams[1].classes[0].urgency   |
-    And each settings fault says what to do next
+    And each settings fault has a remedy
 
-  Scenario Outline: Each sort of fault is found where it stands
+  Scenario Outline: Each kind of fault is reported at its path
     Given the settings file of the domeworks example
     And in it <place> is <value>
     When the settings file is checked
-    Then a settings fault stands at <fault>
+    Then a settings fault is at <fault>
 
     Examples:
       | place                                         | value            | fault                                 |
@@ -65,8 +65,8 @@
       | teams[0].keys[0].scope                        | "everything"     | teams[0].keys[0].scope                |
       | extra                                         | 1                | extra                                 |
 
-  Scenario Outline: A file that is no settings document is answered by a fault
-    An editor saved half of the file, or the wrong file was named.
+  Scenario Outline: A file that is not a settings document has a fault
+    An editor saved half of the file, or the operator named the wrong file.
     Given the settings text <text>
     When the settings file is checked
     Then some settings fault is found
@@ -81,55 +81,55 @@
       | {"teams": [{"name": {"deep": ["x"]}}]}   |
       | {"fleet": {"workers": "none"}}           |
 
-  Scenario: Whatever the file holds, the check answers and never breaks
-    A file can hold any JSON at any place. A traceback would tell the operator
-    nothing, and would hide the faults behind it.
+  Scenario: The check never raises an exception, whatever the file contains
+    A file can hold any JSON at any place. A traceback would not help the operator, and
+    it would hide other faults.
     Then checking a settings file with any JSON at any place gives faults or none
 
-  Scenario: A token pasted where its hash belongs is not repeated
+  Scenario: A token in place of its hash is not repeated
     An operator pastes the bearer token itself. If the fault showed it, the token
-    would stand in terminals, logs and tickets.
+    would get into terminals, logs and tickets.
     Given the settings file of the domeworks example
     And in it teams[0].keys[0].sha256 is "a-plain-token"
     And in it teams[1].keys[0].sha256 is "a-plain-token"
     When the settings file is checked
-    Then a settings fault stands at teams[0].keys[0].sha256
+    Then a settings fault is at teams[0].keys[0].sha256
     And no settings fault shows "a-plain-token"
 
-  Scenario Outline: The workers of a failure domain are checked within the whole picture
-    The other parts stand at paths of their own. A worker in a rack that nobody knows,
-    under a name that stands twice, or gone from under a guarantee would be noticed
-    only when work is lost.
+  Scenario Outline: The workers of a failure domain are checked with all other settings
+    The other settings are stored at paths of their own. A worker in an unknown rack,
+    with a duplicate name, or removed although a guarantee needs it would otherwise be
+    noticed only when work is lost.
     Given the settings file of the domeworks example in force
     When the workers of osborne are to be changed so that <change>
     Then the change of workers has a fault at <fault>
 
     Examples:
       | change                                 | fault                        |
-      | the first stands in rack nowhere       | workers/osborne[0].rack      |
-      | the second stands in rack malaga-rack-1 | workers/osborne[1].rack     |
+      | the first is in rack nowhere           | workers/osborne[0].rack      |
+      | the second is in rack malaga-rack-1    | workers/osborne[1].rack      |
       | the third is named malaga-1            | workers/osborne[2].name      |
       | the fourth has the address of the third | workers/osborne[3].address  |
       | all are gone                           | guarantees.guarantees        |
-      | it is no list                          | workers/osborne              |
+      | it is not a list                       | workers/osborne              |
 
-  Scenario: The fleet is checked with the workers that stand at other paths
-    A rack that goes or moves would leave its workers behind, and they would vanish
-    from every cell without a word.
+  Scenario: The fleet is checked with the workers that are stored at other paths
+    A rack that is removed or moved would be separated from its workers, and they
+    would silently vanish from every cell.
     Given the settings file of the domeworks example in force
     Then a fleet with its workers in it is refused at fleet.workers
     And a fleet whose osborne rack is gone is refused at fleet.workers[0].rack
     And a fleet whose osborne rack moves is refused at fleet.racks[0].failure_domain
 
-  Scenario: A load moves a rack and its workers by steps that are each accepted
-    The file holds the end and not the way. One wrong order would be refused in the
-    middle, and leave the settings half changed.
+  Scenario: A load moves a rack and its workers in steps that are each accepted
+    The file holds the result and not the steps. Steps in a wrong order would be
+    refused half-way, and leave the settings half changed.
     Given the settings file of the domeworks example in force
-    Then loading a file in which a spare rack of osborne came and moved is accepted
+    Then loading a file in which a spare rack of osborne was added and moved is accepted
 
-  Scenario: A change is refused for its own faults and not for older ones
-    A stored team is faulty by a newer rule. Another team's operator can still
-    change that team, and the faulty one can be mended.
+  Scenario: A change is refused for its own faults and not for existing ones
+    A stored team is faulty under a newer rule. Other teams can still be changed, and
+    the faulty one can be corrected.
     Given the settings file of the domeworks example in force
     And team archive-captions in force has an unknown organisation
     Then changing teams/dome-operations to quota 32 is accepted
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -1,4 +1,4 @@
-"""Steps on bearer tokens and rights."""
+"""Steps for bearer tokens and rights."""
 
 import contextlib
 import io
@@ -78,7 +78,7 @@
     assert list_faults(context, changed, "dome-operations")
 
 
-@when("the first key of {name} is taken away")
+@when("the first key of {name} is removed")
 def remove_key(context: Any, name: str) -> None:
     keys = context.changed.find_team(name).keys
     context.changed = replace_team(context.changed, name, keys=keys[1:])
@@ -96,7 +96,7 @@
     context.changed = replace_team(context.settings, name, keys=(key,))
 
 
-@then("its token gives no operator's rights and the change is a settings fault")
+@then("its token gives no operator rights and the change is a settings fault")
 def check_no_operator(context: Any) -> None:
     rights = find_rights(context.changed, "own")
     assert rights is not None and not rights.is_operator
@@ -113,7 +113,7 @@
 
 
 @then("a token of a million letters gives no rights without being hashed")
-def check_endless(context: Any) -> None:
+def check_overlong(context: Any) -> None:
     with patch.object(access, "hash_token", side_effect=AssertionError):
         assert find_rights(context.settings, "a" * 1_000_000) is None
 
@@ -122,7 +122,7 @@
 BEARER = "Bearer of-an-operator"
 
 
-def break_with(header: str) -> None:
+def raise_with(header: str) -> None:
     if header:
         raise RuntimeError("a fault of the program")
 
@@ -139,7 +139,7 @@
             log = structlog.get_logger()
             log.info("started", settings=settings, listed=[keys], keys={"pair": keys})
             try:
-                break_with(BEARER)
+                raise_with(BEARER)
             except RuntimeError:
                 log.exception("request_failed")
         finally:
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps on checking settings documents."""
+"""Steps for checks of settings documents."""
 
 import json
 import re
@@ -65,19 +65,19 @@
     assert context.faults
 
 
-@then("the settings faults stand exactly at")
+@then("the settings faults are exactly at")
 def find_exactly(context: Any) -> None:
     found = {fault.path for fault in context.faults}
     assert found == {row["path"] for row in context.table}, context.faults
 
 
-@then("each settings fault says what to do next")
+@then("each settings fault has a remedy")
 def find_remedies(context: Any) -> None:
     for fault in context.faults:
         assert fault.reason and fault.remedy.endswith("."), fault
 
 
-@then("a settings fault stands at {path}")
+@then("a settings fault is at {path}")
 def find_at(context: Any, path: str) -> None:
     assert path in {fault.path for fault in context.faults}, context.faults
 
@@ -174,7 +174,7 @@
     words = change.split()
     if change == "all are gone":
         workers = None
-    elif change == "it is no list":
+    elif change == "it is not a list":
         workers = {}
     elif "rack" in words:
         workers[numbers[words[1]]]["rack"] = words[-1]
@@ -225,7 +225,7 @@
 
 
 def add_spare(document: Any, domain: str) -> Any:
-    """Return a document with a rack and worker more, in a cell of their own."""
+    """Return a document with a spare rack and worker, in a cell of their own."""
     fleet = document["fleet"]
     rack = {"name": "spare-rack", "failure_domain": domain}
     worker = {"name": "spare-1", "rack": "spare-rack", "address": "10.9.9.9:8000"}
@@ -235,23 +235,23 @@
     return {**document, "fleet": {**fleet, **grown}}
 
 
-@then("loading a file in which a spare rack of osborne came and moved is accepted")
+@then("loading a file in which a spare rack of osborne was added and moved is accepted")
 def load_moved(context: Any) -> None:
     example = read_example("domeworks")
-    stands = dict(split_document(example))
+    stored = dict(split_document(example))
     follower = make_follower(MemoryStore(), "follower")
     revision = 0
-    put_values(follower, stands.items(), revision)
+    put_values(follower, stored.items(), revision)
     documents = (add_spare(example, "osborne"), add_spare(example, "malaga"), example)
     for document in documents:
-        for path, value in list_load_steps(document, stands):
-            if stands.get(path) == value:
+        for path, value in list_load_steps(document, stored):
+            if stored.get(path) == value:
                 continue
             revision += 1
             text = encode_text(value)
             faults = check_change(follower.settings, path, text)
             assert faults == (), (path, faults)
-            stands[path] = value
+            stored[path] = value
             put_values(follower, [(path, value)], revision)
             assert follower.left_out == ()
         wanted = msgspec.convert(document, Settings).fleet
