--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -350,8 +350,9 @@
 ) -> None:
     demand = dict(zip(context.names, demands, strict=True))
     grants = context.ledger.grant(context.slots, demand, in_flight or {}, now)
-    rows = zip(context.names, context.allowances, received, strict=True)
-    for name, entry, time in rows:
+    for name, entry, time in zip(
+        context.names, context.allowances, received, strict=True
+    ):
         if time is not None:
             grant = Grant(grants[name], time + GRANT_SECONDS, GRANT_SECONDS)
             entry.set_grant(context.slots, grant, time)
