--- a/src/primrosestile/decisions/settingscheck.py
+++ b/src/primrosestile/decisions/settingscheck.py
@@ -120,9 +120,7 @@
 def check_raw(raw: Any, rooms: bool = True) -> tuple[Fault, ...]:
     """Return each fault of a document, which may be any JSON value.
 
-    Args:
-        raw: Any JSON value.
-        rooms: Whether to check that the fleet can hold all guarantees.
+    Whether the fleet can hold all guarantees is checked `with_capacity` only.
     """
     whole, faults = _check_shape(raw)
     faults += _check_numbers(raw)
