--- a/src/primrosestile/decisions/queueing.py
+++ b/src/primrosestile/decisions/queueing.py
@@ -18,7 +18,7 @@
     MIN_RETRY_AFTER_SECONDS,
     Refusal,
     WaitEstimate,
-    Waiting,
+    Waiting as Waiting,
     decide_admission,
 )
 from primrosestile.decisions.fairness import Entry, FairLine
@@ -30,7 +30,7 @@
 from primrosestile.errors import ErrorKind
 from primrosestile.state.tenancy import Policy, Urgency
 
-__all__ = ["Refusal", "RequestQueue", "Waiting", "make_queue"]
+__all__ = ["Refusal", "RequestQueue", "make_queue"]
 
 # An organisation may hold twice as many places as are free, and one of its classes
 # as many as are free. A single organisation gets two thirds of the queue; a burst of
