--- a/src/primrosestile/decisions/queueing.py
+++ b/src/primrosestile/decisions/queueing.py
@@ -32,9 +32,10 @@
 
 __all__ = ["Refusal", "RequestQueue", "make_queue"]
 
-# An organisation may hold twice as many places as are free, and one of its classes
-# as many as are free. A single organisation gets two thirds of the queue; a burst of
-# another one always finds places, and no share is reserved and idle.
+# Of each urgency, an organisation may hold twice as many places as are free, and one
+# of its classes as many as are free. A single organisation with one urgency gets two
+# thirds of the queue; a burst of another one always finds places, and no share is
+# reserved and idle.
 ORGANISATION_PLACES_FACTOR = 2.0
 CLASS_PLACES_FACTOR = 1.0
 # Slots assumed until the entry sets how many it may use.
--- a/src/primrosestile/decisions/slots.py
+++ b/src/primrosestile/decisions/slots.py
@@ -128,8 +128,8 @@
     """Return the slots that each entry may use, by entry and worker.
 
     For demand that the load balancer spreads unevenly: an entry with a bulk sender
-    must not queue requests while the slots of others are idle. It never sends a
-    worker more than its slots: no slot is taken from an entry that uses it, or holds
+    must not queue requests while the slots of others are idle. A worker must not be
+    sent more than its slots, so no slot is taken from an entry that uses it, or holds
     it by a grant that has not lapsed.
 
     Args:
