--- a/features/doubles/requests.py
+++ b/features/doubles/requests.py
@@ -21,7 +21,7 @@
     ProcessLease,
     Registration,
 )
-from primrosestile.decisions.queueing import Waiting, make_queue
+from primrosestile.decisions.queueing import QueuedRequest, make_queue
 from primrosestile.decisions.routing import make_router
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.entry import DirectoryCheck
@@ -179,7 +179,7 @@
         current_call.set(call)
         order = call.order
         now = read_clock()
-        waiting = Waiting(
+        waiting = QueuedRequest(
             request_id=order.request_id,
             organisation=order.organisation,
             team="counters",
--- a/features/doubles/slots.py
+++ b/features/doubles/slots.py
@@ -6,7 +6,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.turns import Turns
-from primrosestile.decisions.queueing import Waiting, make_queue
+from primrosestile.decisions.queueing import QueuedRequest, make_queue
 from primrosestile.decisions.routing import Outcome, make_router
 from primrosestile.state.tenancy import Policy, Urgency
 
@@ -34,9 +34,9 @@
         self._second = asyncio.create_task(second)
         await asyncio.sleep(0)
 
-    def _make_request(self, request_id: str) -> Waiting:
+    def _make_request(self, request_id: str) -> QueuedRequest:
         now = read_clock()
-        return Waiting(
+        return QueuedRequest(
             request_id=request_id,
             organisation="thistlegate",
             team="counters",
--- a/features/requests/machines.py
+++ b/features/requests/machines.py
@@ -16,7 +16,7 @@
     MIN_RETRY_AFTER_SECONDS,
 )
 from primrosestile.decisions.capacity import LEAVING_SECONDS
-from primrosestile.decisions.queueing import Refusal, Waiting, make_queue
+from primrosestile.decisions.queueing import QueuedRequest, Refusal, make_queue
 from primrosestile.decisions.routing import Outcome, make_router
 from primrosestile.decisions.slots import (
     DELIVERY_SECONDS,
@@ -46,8 +46,8 @@
         self.router.set_entries(ENTRIES[:2])
         self.router.set_targets(WORKERS, frozenset(), self.now)
         self.made = 0
-        self.waiting: dict[str, Waiting] = {}
-        self.running: list[tuple[str, Waiting]] = []
+        self.waiting: dict[str, QueuedRequest] = {}
+        self.running: list[tuple[str, QueuedRequest]] = []
         self.answered: dict[str, str] = {}
         self.listed_leaving: frozenset[str] = frozenset()
         self.said_leaving: dict[str, float] = {}
@@ -56,7 +56,7 @@
         self.granted_until = 0.0
         self.was_paused = False
 
-    def answer(self, waiting: Waiting, how: str) -> None:
+    def answer(self, waiting: QueuedRequest, how: str) -> None:
         assert waiting.request_id not in self.answered, "answered twice"
         self.answered[waiting.request_id] = how
 
@@ -85,7 +85,7 @@
     ) -> None:
         for _ in range(count):
             self.made += 1
-            waiting = Waiting(
+            waiting = QueuedRequest(
                 request_id=f"r{self.made}",
                 organisation=organisation,
                 team=organisation,
@@ -108,7 +108,7 @@
         self.queue.set_slots(self.router.count_slots(self.now))
         chosen: list[str] = []
 
-        def accept(waiting: Waiting) -> bool:
+        def accept(waiting: QueuedRequest) -> bool:
             target = self.router.choose(waiting, self.now)
             chosen.append(target or "")
             return target is not None
@@ -126,13 +126,13 @@
         for waiting in self.list_heads():
             assert self.router.choose(waiting, self.now) is None, "left waiting"
 
-    def list_heads(self) -> list[Waiting]:
+    def list_heads(self) -> list[QueuedRequest]:
         """Return the oldest waiting request of each class.
 
         A class keeps its order: a request that could start now stays behind a longer
         one that may not take the last slot.
         """
-        heads: dict[tuple[str, str, Urgency], Waiting] = {}
+        heads: dict[tuple[str, str, Urgency], QueuedRequest] = {}
         for waiting in self.waiting.values():
             key = (waiting.organisation, waiting.job_class, waiting.urgency)
             heads.setdefault(key, waiting)
--- a/features/steps/follower_steps.py
+++ b/features/steps/follower_steps.py
@@ -141,7 +141,7 @@
     context.store = MemoryStore()
     context.large = make_settings(workers, n, domains)
     document = msgspec.to_builtins(context.large)
-    assert check_raw(document, rooms=False) == ()
+    assert check_raw(document, with_capacity=False) == ()
     steps = list_load_steps(document, {})
     assert len(steps) == 3 + domains + n
 
--- a/features/steps/joining_steps.py
+++ b/features/steps/joining_steps.py
@@ -23,7 +23,7 @@
 from primrosestile.coordination.exchange import Exchange
 from primrosestile.coordination.gangs import Command
 from primrosestile.coordination.membership import PROCESSES_PREFIX, Directory
-from primrosestile.decisions.queueing import Waiting, make_queue
+from primrosestile.decisions.queueing import QueuedRequest, make_queue
 from primrosestile.decisions.routing import make_router
 from primrosestile.decisions.settingsview import view_settings
 from primrosestile.errors import Failure
@@ -186,10 +186,10 @@
         self.refused[name] = []
         return part
 
-    def make_waiting(self) -> Waiting:
+    def make_waiting(self) -> QueuedRequest:
         self.number += 1
         now = read_clock()
-        return Waiting(
+        return QueuedRequest(
             request_id=f"request-{self.number}",
             organisation="organisation",
             team="team",
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -14,7 +14,7 @@
 from primrosestile.decisions.allowances import Allowances, Grant
 from primrosestile.decisions.overdue import OverdueWatch, Running
 from primrosestile.decisions.quarantine import make_ledger
-from primrosestile.decisions.queueing import Waiting, make_queue
+from primrosestile.decisions.queueing import QueuedRequest, make_queue
 from primrosestile.decisions.routing import Outcome as Ended, Router, make_router
 from primrosestile.decisions.slots import GRANT_SECONDS, make_grant_ledger, share_safely
 from primrosestile.state.tenancy import Policy, Urgency
@@ -128,8 +128,8 @@
     run_machine(GrantMachine, count)
 
 
-def make_waiting(number: object, now: float = 0.0, **changes: Any) -> Waiting:
-    waiting = Waiting(
+def make_waiting(number: object, now: float = 0.0, **changes: Any) -> QueuedRequest:
+    waiting = QueuedRequest(
         request_id=f"request-{number}",
         organisation="a",
         team="a",
@@ -715,7 +715,7 @@
     assert not context.finder.is_alive()
 
 
-def make_long(number: int, now: float) -> Waiting:
+def make_long(number: int, now: float) -> QueuedRequest:
     return make_waiting(
         f"long-{number}",
         now,
--- a/src/primrosestile/coordination/cell.py
+++ b/src/primrosestile/coordination/cell.py
@@ -221,7 +221,7 @@
     def note_lost(self, domains: frozenset[str]) -> None:
         """Take over promises of failure domains that are lost."""
         settings = self._read_settings()
-        promised = view_settings(settings).find_promises(domains)
+        promised = view_settings(settings).find_guaranteed_shapes(domains)
         self._data.view.set_promised(promised.get(self.cell.name, ()))
 
     def note_listed(self, leaving: frozenset[str]) -> None:
@@ -275,7 +275,9 @@
 
 def _collect_inputs(settings: Settings, name: str) -> _Inputs:
     view = view_settings(settings)
-    return _Inputs(view.workers_in.get(name, ()), view.find_promises().get(name, ()))
+    return _Inputs(
+        view.workers_in.get(name, ()), view.find_guaranteed_shapes().get(name, ())
+    )
 
 
 def _make_data(
--- a/src/primrosestile/coordination/claimed.py
+++ b/src/primrosestile/coordination/claimed.py
@@ -15,7 +15,7 @@
 from primrosestile.coordination.claims import Claims, HeldClaim, compute_fingerprint
 from primrosestile.coordination.sending import Sending
 from primrosestile.coordination.turns import Turns
-from primrosestile.decisions.queueing import Waiting
+from primrosestile.decisions.queueing import QueuedRequest
 from primrosestile.decisions.routing import Outcome
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder
@@ -96,7 +96,7 @@
         self._reads = _ReadBudget(REFUSAL_READS_PER_SECOND)
 
     async def answer(
-        self, order: RequestOrder, waiting: Waiting, attempt: int
+        self, order: RequestOrder, waiting: QueuedRequest, attempt: int
     ) -> RequestAnswer:
         """Serve one request to its end.
 
@@ -145,7 +145,7 @@
         raise Failure(ErrorKind.IN_PROGRESS, f"held by {claim.entry}")
 
     async def _claim(
-        self, target: str, order: RequestOrder, waiting: Waiting
+        self, target: str, order: RequestOrder, waiting: QueuedRequest
     ) -> HeldClaim | Claim:
         """Claim the request; free the target's slot unless the claim is held."""
         step: HeldClaim | Claim | None = None
@@ -167,7 +167,7 @@
                 self._turns.finish(target, waiting, Outcome.CANCELLED, read_clock())
 
     async def _run(
-        self, held: HeldClaim, target: str, order: RequestOrder, waiting: Waiting
+        self, held: HeldClaim, target: str, order: RequestOrder, waiting: QueuedRequest
     ) -> RequestAnswer:
         """Send under a claim until it ran, may have run, or is given up."""
         sent = False
@@ -222,7 +222,7 @@
         self.settling.settle(order.request_id, release)
 
     async def _mark_dispatched(
-        self, held: HeldClaim, target: str, waiting: Waiting
+        self, held: HeldClaim, target: str, waiting: QueuedRequest
     ) -> HeldClaim:
         """Record the dispatch; free the target's slot if nothing may be sent.
 
@@ -243,7 +243,7 @@
                 self._turns.finish(target, waiting, Outcome.CANCELLED, read_clock())
 
     async def _send(
-        self, held: HeldClaim, order: RequestOrder, waiting: Waiting
+        self, held: HeldClaim, order: RequestOrder, waiting: QueuedRequest
     ) -> RequestAnswer:
         """Send, and write into the claim how it ended."""
         try:
--- a/src/primrosestile/coordination/dispatch.py
+++ b/src/primrosestile/coordination/dispatch.py
@@ -10,7 +10,7 @@
 from primrosestile.coordination.claims import Claims
 from primrosestile.coordination.sending import Sending
 from primrosestile.coordination.turns import TargetCounts, Turns
-from primrosestile.decisions.queueing import RequestQueue, Waiting
+from primrosestile.decisions.queueing import QueuedRequest, RequestQueue
 from primrosestile.decisions.routing import Router
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder, Targets
@@ -47,7 +47,7 @@
         await self._turns.run()
 
     async def answer(
-        self, order: RequestOrder, waiting: Waiting, attempt: int
+        self, order: RequestOrder, waiting: QueuedRequest, attempt: int
     ) -> RequestAnswer:
         """Serve one request to its end.
 
@@ -67,7 +67,7 @@
         return await self._claimed.answer(order, waiting, attempt)
 
     async def _answer_idempotent(
-        self, order: RequestOrder, waiting: Waiting
+        self, order: RequestOrder, waiting: QueuedRequest
     ) -> RequestAnswer:
         tried: frozenset[str] = frozenset()
         unknown: Failure | None = None
--- a/src/primrosestile/coordination/exchange.py
+++ b/src/primrosestile/coordination/exchange.py
@@ -101,7 +101,7 @@
             seconds: The age from which a digest is not fresh any more.
         """
         view = view_settings(settings)
-        promised = view.find_promises()
+        promised = view.find_guaranteed_shapes()
         return [
             self._picture(
                 name,
--- a/src/primrosestile/coordination/follower.py
+++ b/src/primrosestile/coordination/follower.py
@@ -19,7 +19,7 @@
 
 from primrosestile.coordination.settingstore import decode_stored, encode_stored
 from primrosestile.coordination.writing import list_all
-from primrosestile.decisions.settingsparts import LeftOut, assemble_fleet
+from primrosestile.decisions.settingsparts import ExcludedWorker, assemble_fleet
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Change, Store
 from primrosestile.state.fleet import Fleet, Worker
@@ -71,7 +71,7 @@
         self._teams: dict[str, Team] = {}
         self._fleet = Fleet()
         self._workers: dict[str, tuple[Worker, ...]] = {}
-        self._left_out: tuple[LeftOut, ...] = ()
+        self._left_out: tuple[ExcludedWorker, ...] = ()
         self._handlers: list[ChangeHandler] = []
         self._first = asyncio.Event()
         self._changed = asyncio.Event()
@@ -82,7 +82,7 @@
         return self._settings
 
     @property
-    def left_out(self) -> tuple[LeftOut, ...]:
+    def left_out(self) -> tuple[ExcludedWorker, ...]:
         """Stored workers that don't count, since they do not fit the fleet."""
         return self._left_out
 
--- a/src/primrosestile/coordination/following.py
+++ b/src/primrosestile/coordination/following.py
@@ -16,7 +16,7 @@
 from primrosestile.coordination.actions import JobActions
 from primrosestile.coordination.celldata import CellData, Contact
 from primrosestile.coordination.gangs import Stage, go_gang, make_task_id
-from primrosestile.decisions.pacing import choose_round_seconds
+from primrosestile.decisions.pacing import choose_poll_seconds
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import TaskPhase, WorkerReport
 from primrosestile.state.jobs import JobRecord, JobState, ReasonCode
@@ -55,7 +55,7 @@
 
     def _choose_pause(self) -> float:
         jobs_wait = self._data.book.count_in(JobState.ACCEPTED) > 0
-        seconds = choose_round_seconds(
+        seconds = choose_poll_seconds(
             self._data.command.lease_seconds,
             jobs_wait,
             self._data.count_followed(),
--- a/src/primrosestile/coordination/sending.py
+++ b/src/primrosestile/coordination/sending.py
@@ -4,7 +4,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.turns import Turns
-from primrosestile.decisions.queueing import Waiting
+from primrosestile.decisions.queueing import QueuedRequest
 from primrosestile.decisions.routing import Outcome
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder, Targets
@@ -25,7 +25,7 @@
         self._targets = targets
 
     async def send(
-        self, target: str, order: RequestOrder, waiting: Waiting
+        self, target: str, order: RequestOrder, waiting: QueuedRequest
     ) -> RequestAnswer:
         """Send once and return a good answer.
 
@@ -36,7 +36,7 @@
         started = read_clock()
         outcome = Outcome.CANCELLED
         try:
-            limit = self._turns.router.limit_try(waiting, started)
+            limit = self._turns.router.limit_attempt(waiting, started)
             timeout = max(SHORTEST_TIMEOUT_SECONDS, limit)
             answer = await self._targets.send(target, order, timeout)
             if answer.leaving:
@@ -50,7 +50,7 @@
             self._turns.finish(target, waiting, outcome, started)
 
     async def send_hedged(
-        self, target: str, order: RequestOrder, waiting: Waiting
+        self, target: str, order: RequestOrder, waiting: QueuedRequest
     ) -> RequestAnswer:
         """Send, and send once more elsewhere if the answer is late.
 
@@ -73,7 +73,7 @@
         first: "asyncio.Task[RequestAnswer]",
         target: str,
         order: RequestOrder,
-        waiting: Waiting,
+        waiting: QueuedRequest,
     ) -> RequestAnswer:
         router = self._turns.router
         now = read_clock()
--- a/src/primrosestile/coordination/turns.py
+++ b/src/primrosestile/coordination/turns.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from primrosestile.clock import read_clock
-from primrosestile.decisions.queueing import Refusal, RequestQueue, Waiting
+from primrosestile.decisions.queueing import QueuedRequest, Refusal, RequestQueue
 from primrosestile.decisions.routing import Outcome, Router
 from primrosestile.errors import ErrorKind, Failure
 
@@ -26,7 +26,7 @@
 class _Turn:
     """A queued request's place: resolved with the target chosen for it."""
 
-    waiting: Waiting
+    waiting: QueuedRequest
     future: "asyncio.Future[str]"
     tried: frozenset[str]
 
@@ -88,10 +88,10 @@
     def _hand_out(self) -> None:
         """Give a target to each queued request that may have one now."""
         now = read_clock()
-        while self._turns and self.router.can_serve_any(now):
+        while self._turns and self.router.has_free_slot(now):
             chosen: list[str] = []
 
-            def accept(waiting: Waiting, chosen: list[str] = chosen) -> bool:
+            def accept(waiting: QueuedRequest, chosen: list[str] = chosen) -> bool:
                 turn = self._turns[waiting.request_id]
                 if turn.future.done():
                     # Its caller has just gone away and its task has not run yet.
@@ -117,7 +117,7 @@
             if not turn.future.done():
                 turn.future.set_exception(_make_failure(refusal))
 
-    async def wait(self, waiting: Waiting, tried: frozenset[str]) -> str:
+    async def wait(self, waiting: QueuedRequest, tried: frozenset[str]) -> str:
         """Wait for a turn; return the target whose slot is held for the request.
 
         Args:
@@ -143,7 +143,7 @@
             self._abandon(waiting, future)
             raise
 
-    def _abandon(self, waiting: Waiting, future: "asyncio.Future[str]") -> None:
+    def _abandon(self, waiting: QueuedRequest, future: "asyncio.Future[str]") -> None:
         """Free what a caller who has gone away held: its place, or its slot."""
         if self._turns.pop(waiting.request_id, None) is not None:
             self.queue.remove([waiting.request_id])
@@ -151,13 +151,13 @@
         if future.done() and not future.cancelled() and future.exception() is None:
             self.finish(future.result(), waiting, Outcome.CANCELLED, read_clock())
 
-    def start(self, target: str, waiting: Waiting) -> None:
+    def start(self, target: str, waiting: QueuedRequest) -> None:
         """Hold a slot of a target for a request."""
         self.router.start(target, waiting, read_clock())
         self.counts.in_flight[target] += 1
 
     def finish(
-        self, target: str, waiting: Waiting, outcome: Outcome, started: float
+        self, target: str, waiting: QueuedRequest, outcome: Outcome, started: float
     ) -> None:
         """Free a slot, and note what became of the request that held it."""
         now = read_clock()
--- a/src/primrosestile/decisions/admission.py
+++ b/src/primrosestile/decisions/admission.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """One short request that waits for a slot.
 
     Attributes:
@@ -82,7 +82,7 @@
 
 
 def decide_admission(
-    waiting: Waiting, estimate: WaitEstimate, now: float
+    waiting: QueuedRequest, estimate: WaitEstimate, now: float
 ) -> Refusal | None:
     """Return why the request is refused, or None when it is admitted.
 
--- a/src/primrosestile/decisions/allowances.py
+++ b/src/primrosestile/decisions/allowances.py
@@ -32,7 +32,7 @@
     seconds: float
 
     @property
-    def settled_at(self) -> float:
+    def all_lapsed_at(self) -> float:
         """When every grant of the same owner has lapsed, if the owner has died."""
         return self.until + self.seconds
 
@@ -91,7 +91,7 @@
         """Return all targets in order."""
         return sorted(self._slots)
 
-    def list_under(self, grant: Grant, workers: Iterable[str]) -> tuple[str, ...]:
+    def list_covered_by(self, grant: Grant, workers: Iterable[str]) -> tuple[str, ...]:
         """Return the workers for which no later grant has arrived."""
         return tuple(each for each in workers if self._grants.get(each) is grant)
 
@@ -111,7 +111,7 @@
         slots = self._slots.get(worker, 0)
         safe = self._safe_slots.get(worker, 0)
         grant = self._grants.get(worker)
-        if grant is None or now >= grant.settled_at:
+        if grant is None or now >= grant.all_lapsed_at:
             return safe
         granted = grant.slots.get(worker, 0)
         return min(granted, slots if now < grant.until else safe)
--- a/src/primrosestile/decisions/capacity.py
+++ b/src/primrosestile/decisions/capacity.py
@@ -68,7 +68,7 @@
         changed = self._allowances.set_grant(concerned, grant, self._now)
         self._refresh_all(changed)
         self._expect_change(until, concerned, grant)
-        self._expect_change(grant.settled_at, concerned, grant)
+        self._expect_change(grant.all_lapsed_at, concerned, grant)
 
     def advance(self, now: float) -> None:
         """Update to the time `now`: expire grants, pauses and reports of leaving."""
@@ -76,7 +76,7 @@
         while self._due and self._due[0][0] <= self._now:
             _, _, concerned, grant = heapq.heappop(self._due)
             if grant is not None:
-                concerned = self._allowances.list_under(grant, concerned)
+                concerned = self._allowances.list_covered_by(grant, concerned)
             self._refresh_all(concerned)
 
     def start(self, target: str) -> None:
--- a/src/primrosestile/decisions/fairness.py
+++ b/src/primrosestile/decisions/fairness.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, replace
 
-from primrosestile.decisions.admission import Waiting
+from primrosestile.decisions.admission import QueuedRequest
 
 # Queue heads that one search tries. Whether a request can be placed hardly depends on
 # which one it is, so a longer search costs time and finds nothing.
@@ -32,7 +32,7 @@
         estimated_wait: The raw estimate of its wait, in seconds.
     """
 
-    waiting: Waiting | None
+    waiting: QueuedRequest | None
     work: float
     offered_at: float = 0.0
     foreseen_wait: float = 0.0
@@ -159,7 +159,7 @@
         owner.class_heap.add_idle(flow)
         self._organisation_heap.add_idle(owner)
 
-    def take(self, accept: Callable[[Waiting], bool] | None) -> Entry | None:
+    def take(self, accept: Callable[[QueuedRequest], bool] | None) -> Entry | None:
         """Remove and return the next entry that `accept` takes.
 
         The returned entry keeps its request.
@@ -181,7 +181,7 @@
     def _take_from(
         self,
         owner: _OrganisationFlow,
-        accept: Callable[[Waiting], bool] | None,
+        accept: Callable[[QueuedRequest], bool] | None,
         tries: int,
     ) -> tuple[Entry | None, int]:
         popped: list[_ClassFlow] = []
@@ -203,7 +203,7 @@
                 owner.class_heap.add_popped(flow)
         return taken, tries
 
-    def discard(self, entry: Entry) -> Waiting | None:
+    def discard(self, entry: Entry) -> QueuedRequest | None:
         """Remove one entry in constant time; the rest keeps its order."""
         waiting = entry.waiting
         if waiting is None:
@@ -225,7 +225,7 @@
         self.count += one
         self.work = self.work + work if self.count else 0.0
 
-    def count_of(self, waiting: Waiting) -> tuple[int, int]:
+    def count_of(self, waiting: QueuedRequest) -> tuple[int, int]:
         """Return how many wait of its organisation, and of its class."""
         owner = self._organisations.get(waiting.organisation)
         if owner is None:
@@ -233,7 +233,7 @@
         flow = owner.classes.get(waiting.class_key)
         return owner.count, flow.count if flow else 0
 
-    def work_ahead(self, waiting: Waiting, work: float) -> float:
+    def work_ahead(self, waiting: QueuedRequest, work: float) -> float:
         """Return the seconds of work that are served before a new request of its kind.
 
         With fair sharing an organisation waits for its own work, and for as much of
--- a/src/primrosestile/decisions/headroom.py
+++ b/src/primrosestile/decisions/headroom.py
@@ -8,7 +8,7 @@
 
 import math
 
-from primrosestile.decisions.admission import Waiting
+from primrosestile.decisions.admission import QueuedRequest
 from primrosestile.state.tenancy import Urgency
 
 # Patient requests that run longer than this count as long. An urgent request has 5.8
@@ -35,7 +35,7 @@
         self._long: set[tuple[str, str]] = set()
         self._time = 0.0
 
-    def allows(self, waiting: Waiting, run: float, slots: int) -> bool:
+    def allows(self, waiting: QueuedRequest, run: float, slots: int) -> bool:
         """Whether a request may start without taking slots that urgent ones need.
 
         For a bulk of long patient requests beside a steady flow of urgent ones. The
@@ -55,14 +55,14 @@
         limit = max(slots - needed, slots * self.patient_share)
         return len(self._long) < limit
 
-    def start(self, target: str, waiting: Waiting, run: float) -> None:
+    def start(self, target: str, waiting: QueuedRequest, run: float) -> None:
         """Record the start of a request."""
         if waiting.urgency is Urgency.URGENT:
             self._urgent += 1
         elif run > LONG_RUN_SECONDS:
             self._long.add((target, waiting.request_id))
 
-    def finish(self, target: str, waiting: Waiting) -> None:
+    def finish(self, target: str, waiting: QueuedRequest) -> None:
         """Record the end of a request."""
         if waiting.urgency is Urgency.URGENT:
             self._urgent -= 1
--- a/src/primrosestile/decisions/pacing.py
+++ b/src/primrosestile/decisions/pacing.py
@@ -32,7 +32,7 @@
     return max(EXCHANGE_SECONDS, peers / MAX_EXCHANGES_PER_SECOND)
 
 
-def choose_round_seconds(
+def choose_poll_seconds(
     lease_seconds: float, jobs_wait: bool, workers_followed: int
 ) -> float:
     """Return the seconds between two polls of one worker.
--- a/src/primrosestile/decisions/queueing.py
+++ b/src/primrosestile/decisions/queueing.py
@@ -16,9 +16,9 @@
 from primrosestile.decisions.admission import (
     MAX_RETRY_AFTER_SECONDS,
     MIN_RETRY_AFTER_SECONDS,
+    QueuedRequest as QueuedRequest,
     Refusal,
     WaitEstimate,
-    Waiting as Waiting,
     decide_admission,
 )
 from primrosestile.decisions.fairness import Entry, FairLine
@@ -63,7 +63,7 @@
         self._queues = {urgency: FairLine() for urgency in Urgency}
         self._entries: dict[str, Entry] = {}
         self._latest_starts: list[tuple[float, str]] = []
-        self._late: list[Waiting] = []
+        self._late: list[QueuedRequest] = []
         self._service_times = ServiceTimeEstimates()
         self._drain = DrainRate(INITIAL_SLOTS, DRAIN_RATE_MEMORY_SECONDS)
         self._corrections = {urgency: WaitCorrection() for urgency in Urgency}
@@ -84,7 +84,7 @@
         """Set how many slots this entry may use now."""
         self._drain.slots = slots
 
-    def offer(self, waiting: Waiting, now: float) -> Refusal | None:
+    def offer(self, waiting: QueuedRequest, now: float) -> Refusal | None:
         """Queue a request, or return why it is refused."""
         self._advance(now)
         if waiting.request_id in self._entries:
@@ -107,8 +107,8 @@
         return None
 
     def take(
-        self, now: float, accept: Callable[[Waiting], bool] | None = None
-    ) -> Waiting | None:
+        self, now: float, accept: Callable[[QueuedRequest], bool] | None = None
+    ) -> QueuedRequest | None:
         """Remove and return the next request to serve.
 
         Requests found to be too late are skipped; `remove_late` returns them, and
@@ -129,7 +129,7 @@
                 return entry.waiting
         return None
 
-    def give_up(self, now: float) -> list[tuple[Waiting, Refusal]]:
+    def give_up(self, now: float) -> list[tuple[QueuedRequest, Refusal]]:
         """Remove and return requests that can no longer meet their deadlines."""
         self._advance(now)
         self._collect_expired(now)
@@ -140,7 +140,7 @@
         self._late = []
         return dropped
 
-    def remove(self, request_ids: Iterable[str]) -> list[Waiting]:
+    def remove(self, request_ids: Iterable[str]) -> list[QueuedRequest]:
         """Remove cancelled requests: constant time for each."""
         removed = []
         for request_id in request_ids:
@@ -160,7 +160,7 @@
             times.append(self._next_tail_check)
         return max(now, min(times))
 
-    def note_served(self, waiting: Waiting, seconds: float, now: float) -> None:
+    def note_served(self, waiting: QueuedRequest, seconds: float, now: float) -> None:
         """Record one run, whether it succeeded or not."""
         self._advance(now)
         self._service_times.note(waiting.class_key, seconds)
@@ -170,7 +170,7 @@
             self._drain.note_time(now - self._last_advance, bool(self._entries))
         self._last_advance = now
 
-    def _note_latest_start(self, waiting: Waiting, run: float) -> None:
+    def _note_latest_start(self, waiting: QueuedRequest, run: float) -> None:
         starts = self._latest_starts
         heapq.heappush(starts, (waiting.deadline - run, waiting.request_id))
         # Entries of requests that left the queue stay in the heap until their latest
@@ -179,7 +179,7 @@
             self._latest_starts = [each for each in starts if each[1] in self._entries]
             heapq.heapify(self._latest_starts)
 
-    def _expect_run(self, waiting: Waiting, now: float) -> float:
+    def _expect_run(self, waiting: QueuedRequest, now: float) -> float:
         """Return the run time in seconds that admission assumes.
 
         For declared times that are far off. As long as no run was measured, a
@@ -213,7 +213,7 @@
         urgent = self._queues[Urgency.URGENT]
         return min((ahead + urgent.work) / rate, ahead / (rate * max(share, 0.01)))
 
-    def _count_places(self, waiting: Waiting) -> int:
+    def _count_places(self, waiting: QueuedRequest) -> int:
         """Return how many more requests of this organisation and class may wait.
 
         For a producer that sends a whole archive at once. Without the limit its
@@ -226,7 +226,7 @@
         return min(free, organisation_room, class_room)
 
     def _spread_retry(
-        self, refusal: Refusal, waiting: Waiting, run: float, now: float
+        self, refusal: Refusal, waiting: QueuedRequest, run: float, now: float
     ) -> Refusal:
         """Return the refusal with a retry time of its own.
 
@@ -274,13 +274,13 @@
         self,
         urgency: Urgency,
         now: float,
-        accept: Callable[[Waiting], bool] | None,
+        accept: Callable[[QueuedRequest], bool] | None,
     ) -> Entry | None:
         queue = self._queues[urgency]
         while queue.count:
             late: list[str] = []
 
-            def accept_in_time(waiting: Waiting, late: list[str] = late) -> bool:
+            def accept_in_time(waiting: QueuedRequest, late: list[str] = late) -> bool:
                 if self._is_late(waiting, now):
                     late.append(waiting.request_id)
                     return False
@@ -295,7 +295,7 @@
                 return None
         return None
 
-    def _is_late(self, waiting: Waiting, now: float) -> bool:
+    def _is_late(self, waiting: QueuedRequest, now: float) -> bool:
         run = self._service_times.estimate(waiting.class_key, 0.0)
         counted = self._entries[waiting.request_id].work
         return now + min(run, counted) > waiting.deadline
@@ -348,7 +348,7 @@
                 continue
             self._late += self.remove([waiting.request_id])
 
-    def _refuse_late(self, waiting: Waiting, now: float) -> Refusal:
+    def _refuse_late(self, waiting: QueuedRequest, now: float) -> Refusal:
         kind = ErrorKind.OVERLOADED
         if now >= waiting.deadline:
             kind = ErrorKind.DEADLINE_PASSED
@@ -357,7 +357,7 @@
         run = self._service_times.estimate(waiting.class_key, waiting.expected_seconds)
         return self._spread_retry(refusal, waiting, run, now)
 
-    def _discard(self, request_id: str) -> Waiting | None:
+    def _discard(self, request_id: str) -> QueuedRequest | None:
         entry = self._entries.pop(request_id, None)
         if entry is None or entry.waiting is None:
             return None
--- a/src/primrosestile/decisions/routing.py
+++ b/src/primrosestile/decisions/routing.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from primrosestile.decisions.admission import Waiting
+from primrosestile.decisions.admission import QueuedRequest
 from primrosestile.decisions.capacity import Capacity
 from primrosestile.decisions.headroom import Headroom
 from primrosestile.decisions.outliers import make_outliers
@@ -113,7 +113,7 @@
         self._capacity.set_entries(names)
 
     def choose(
-        self, waiting: Waiting, now: float, exclude: frozenset[str] = frozenset()
+        self, waiting: QueuedRequest, now: float, exclude: frozenset[str] = frozenset()
     ) -> str | None:
         """Return the target for a request, or None when no slot is free for it."""
         self._advance(now)
@@ -126,7 +126,7 @@
         sample = self._capacity.sample(self._random, SAMPLE_SIZE, exclude)
         return min(sample, key=self._rank, default=None)
 
-    def start(self, target: str, waiting: Waiting, now: float) -> None:
+    def start(self, target: str, waiting: QueuedRequest, now: float) -> None:
         """Record that a request is sent to a target."""
         self._advance(now)
         self._capacity.start(target)
@@ -144,7 +144,7 @@
     def finish(
         self,
         target: str,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         outcome: Outcome,
         seconds: float,
         now: float,
@@ -181,7 +181,7 @@
         """Record a request's first attempt, which earns a share of a retry."""
         self._budget.earn()
 
-    def may_retry(self, waiting: Waiting, now: float) -> bool:
+    def may_retry(self, waiting: QueuedRequest, now: float) -> bool:
         """Spend one extra attempt of the budget, if it could meet the deadline.
 
         For a third of the targets failing at once. It prevents load from growing
@@ -192,7 +192,7 @@
             return False
         return self._budget.spend()
 
-    def hedge_after(self, waiting: Waiting, now: float) -> float | None:
+    def hedge_after(self, waiting: QueuedRequest, now: float) -> float | None:
         """Return after how many seconds to send a hedge.
 
         None for work that is not idempotent or not urgent, for a class with too few
@@ -209,7 +209,7 @@
         after = max(MIN_HEDGE_SECONDS, times.estimate_quantile(HEDGE_QUANTILE))
         return after if now + after < waiting.deadline else None
 
-    def limit_try(self, waiting: Waiting, now: float) -> float:
+    def limit_attempt(self, waiting: QueuedRequest, now: float) -> float:
         """Return the timeout of one attempt in seconds.
 
         For connections that stay silent and targets that hang: an attempt that lasts
@@ -227,7 +227,7 @@
             usual = times.estimate_quantile(HEDGE_QUANTILE)
         return min(left, max(MIN_ATTEMPT_SECONDS, ATTEMPT_FACTOR * usual))
 
-    def can_serve_any(self, now: float) -> bool:
+    def has_free_slot(self, now: float) -> bool:
         """Whether any slot is free."""
         self._advance(now)
         return self._capacity.has_free()
@@ -256,11 +256,11 @@
             int(health.slowness / SLOWNESS_STEP),
         )
 
-    def _expect_run(self, waiting: Waiting) -> float:
+    def _expect_run(self, waiting: QueuedRequest) -> float:
         return self._service_times.estimate(waiting.class_key, waiting.expected_seconds)
 
     def _choose_probe_target(
-        self, waiting: Waiting, now: float, exclude: frozenset[str]
+        self, waiting: QueuedRequest, now: float, exclude: frozenset[str]
     ) -> str | None:
         """Return an ejected target due for a probe, if the request is idempotent."""
         if not waiting.idempotent:
--- a/src/primrosestile/decisions/settingschange.py
+++ b/src/primrosestile/decisions/settingschange.py
@@ -19,7 +19,7 @@
     check_raw,
     read_json,
 )
-from primrosestile.decisions.settingsparts import WORKERS, LeftOut, map_racks
+from primrosestile.decisions.settingsparts import WORKERS, ExcludedWorker, map_racks
 from primrosestile.state.settings import (
     FLEET_PATH,
     GUARANTEES_PATH,
@@ -90,7 +90,7 @@
     return change.faults + tuple(own)
 
 
-def describe_left_out(left_out: LeftOut) -> Fault:
+def describe_excluded_worker(left_out: ExcludedWorker) -> Fault:
     """Return the fault that reports an excluded worker."""
     return Fault(
         f"{left_out.path}[{left_out.index}]",
--- a/src/primrosestile/decisions/settingscheck.py
+++ b/src/primrosestile/decisions/settingscheck.py
@@ -117,7 +117,7 @@
     return path in CAPACITY_SECTIONS or path.startswith(WORKERS_PREFIX)
 
 
-def check_raw(raw: Any, rooms: bool = True) -> tuple[Fault, ...]:
+def check_raw(raw: Any, with_capacity: bool = True) -> tuple[Fault, ...]:
     """Return each fault of a document, which may be any JSON value.
 
     Whether the fleet can hold all guarantees is checked `with_capacity` only.
@@ -129,7 +129,7 @@
     faults += _check_references(raw)
     if whole is not None:
         # This check needs a fleet and guarantees without other faults.
-        capacity_checkable = rooms and not any(
+        capacity_checkable = with_capacity and not any(
             fault.path.startswith(CAPACITY_SECTIONS) for fault in faults
         )
         faults += [
--- a/src/primrosestile/decisions/settingsparts.py
+++ b/src/primrosestile/decisions/settingsparts.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeftOut:
+class ExcludedWorker:
     """A stored worker that is not used, since it does not fit the fleet.
 
     Attributes:
@@ -41,7 +41,7 @@
 
 def assemble_fleet(
     fleet: Fleet, workers: Mapping[str, tuple[Worker, ...]]
-) -> tuple[Fleet, tuple[LeftOut, ...]]:
+) -> tuple[Fleet, tuple[ExcludedWorker, ...]]:
     """Return the fleet with the workers that fit it, and those that don't.
 
     Workers are in the order of their racks, whichever value was stored first.
@@ -65,7 +65,7 @@
                 reason = f"worker {worker.name!r} is already listed"
             if reason:
                 path = f"{WORKERS_PREFIX}{domain}"
-                left_out.append(LeftOut(path, index, reason))
+                left_out.append(ExcludedWorker(path, index, reason))
                 continue
             names.add(worker.name)
             in_racks[worker.rack].append(worker)
--- a/src/primrosestile/decisions/settingsview.py
+++ b/src/primrosestile/decisions/settingsview.py
@@ -86,7 +86,7 @@
                 grouped[cell].append(worker)
         return {name: tuple(workers) for name, workers in grouped.items()}
 
-    def find_promises(
+    def find_guaranteed_shapes(
         self, lost_domains: frozenset[str] = frozenset()
     ) -> GuaranteedShapes:
         """Return the shapes guaranteed in each cell, with their organisations.
--- a/src/primrosestile/programs/entryapp.py
+++ b/src/primrosestile/programs/entryapp.py
@@ -14,7 +14,7 @@
 from primrosestile.coordination.submission import Submission, Submissions
 from primrosestile.decisions.access import Rights, require_rights
 from primrosestile.decisions.cellchoice import choose_cell
-from primrosestile.decisions.queueing import Waiting
+from primrosestile.decisions.queueing import QueuedRequest
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.common import answer_failure, answer_json
 from primrosestile.programs.entryrequests import (
@@ -201,10 +201,10 @@
         return answer_json(cancelled)
 
 
-def _make_waiting(caller: Caller, order: RequestOrder, seconds: float) -> Waiting:
+def _make_waiting(caller: Caller, order: RequestOrder, seconds: float) -> QueuedRequest:
     """Return the request as the queue sees it."""
     now = read_clock()
-    return Waiting(
+    return QueuedRequest(
         # Two organisations may choose the same id.
         request_id=f"{order.organisation}/{order.request_id}",
         organisation=order.organisation,
--- a/src/primrosestile/programs/stewardsettings.py
+++ b/src/primrosestile/programs/stewardsettings.py
@@ -22,7 +22,10 @@
     put_setting,
 )
 from primrosestile.decisions.access import require_operator
-from primrosestile.decisions.settingschange import check_change, describe_left_out
+from primrosestile.decisions.settingschange import (
+    check_change,
+    describe_excluded_worker,
+)
 from primrosestile.decisions.settingscheck import Fault, check_settings
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.answers import read_request_id
@@ -195,7 +198,7 @@
         settings = self._follower.settings
         faults = await asyncio.to_thread(check_settings, settings, path)
         left_out = self._follower.left_out
-        faults += tuple(describe_left_out(each) for each in left_out)
+        faults += tuple(describe_excluded_worker(each) for each in left_out)
         if faults:
             _log.error("settings_disagree", faults=[each.path for each in faults])
         return faults
--- a/tools/bench/requests_driver.py
+++ b/tools/bench/requests_driver.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from primrosestile.decisions.queueing import Waiting
+from primrosestile.decisions.queueing import QueuedRequest
 from primrosestile.state.tenancy import Urgency
 
 CONNECTIONS = 64
@@ -22,7 +22,7 @@
 class Arrival:
     """One request as the caller sends it; `run` is what it takes when undisturbed."""
 
-    waiting: Waiting
+    waiting: QueuedRequest
     run: float
     entry: int
     cancelled_at: float | None = None
@@ -215,7 +215,7 @@
                 if source.shape == "exponential"
                 else draw.uniform(0.5, 1.5) * source.run
             )
-            waiting = Waiting(
+            waiting = QueuedRequest(
                 request_id=f"{number}-{len(arrivals)}",
                 organisation=source.organisation,
                 team=source.organisation,
--- a/tools/bench/requests_policies.py
+++ b/tools/bench/requests_policies.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from primrosestile.decisions.queueing import RequestQueue, Waiting, make_queue
+from primrosestile.decisions.queueing import QueuedRequest, RequestQueue, make_queue
 from primrosestile.decisions.routing import Outcome, Router, make_router
 from primrosestile.decisions.slots import GRANT_SECONDS, make_grant_ledger
 from primrosestile.state.tenancy import Policy
@@ -130,7 +130,7 @@
             chosen = self.router.choose(waiting, now, attempt.tried) or ""  # type: ignore[arg-type]
             return bool(chosen)
 
-        while self.router.can_serve_any(now):
+        while self.router.has_free_slot(now):
             waiting = self.queue.take(now, accept)
             if waiting is None:
                 break
@@ -205,7 +205,7 @@
         self._attempts.pop(waiting.request_id, None)
         end(attempt.result, outcome, now)
 
-    def _try_again(self, waiting: Waiting) -> bool:
+    def _try_again(self, waiting: QueuedRequest) -> bool:
         now = self._clock.now
         if not self.router.may_retry(waiting, now):
             return False
--- a/tools/bench/requests_slopes.py
+++ b/tools/bench/requests_slopes.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from primrosestile.decisions.queueing import RequestQueue, Waiting, make_queue
+from primrosestile.decisions.queueing import QueuedRequest, RequestQueue, make_queue
 from primrosestile.decisions.routing import Outcome, Router, make_router
 from primrosestile.decisions.slots import make_grant_ledger, share_safely, share_slots
 from primrosestile.state.tenancy import Policy, Urgency
@@ -25,8 +25,8 @@
     return round(best * 1e6, 2)
 
 
-def make_one(number: int) -> Waiting:
-    return Waiting(
+def make_one(number: int) -> QueuedRequest:
+    return QueuedRequest(
         request_id=f"request-{number}",
         organisation=f"organisation-{number % 4}",
         team=f"team-{number % 40}",
--- a/tools/bench/requests_ways.py
+++ b/tools/bench/requests_ways.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable, Iterable
 
-from primrosestile.decisions.queueing import Refusal, RequestQueue, Waiting
+from primrosestile.decisions.queueing import QueuedRequest, Refusal, RequestQueue
 from primrosestile.decisions.routing import Outcome, Router
 from primrosestile.errors import ErrorKind
 from primrosestile.state.tenancy import Policy
@@ -25,13 +25,13 @@
 
     def __init__(self, policy: Policy) -> None:
         super().__init__(policy)
-        self._line: OrderedDict[str, Waiting] = OrderedDict()
-        self._dropped: list[tuple[Waiting, Refusal]] = []
+        self._line: OrderedDict[str, QueuedRequest] = OrderedDict()
+        self._dropped: list[tuple[QueuedRequest, Refusal]] = []
 
     def __len__(self) -> int:
         return len(self._line)
 
-    def offer(self, waiting: Waiting, now: float) -> Refusal | None:
+    def offer(self, waiting: QueuedRequest, now: float) -> Refusal | None:
         """Let in what fits."""
         if len(self._line) >= self._policy.queue_limit:
             return OVERLOADED
@@ -39,8 +39,8 @@
         return None
 
     def take(
-        self, now: float, accept: Callable[[Waiting], bool] | None = None
-    ) -> Waiting | None:
+        self, now: float, accept: Callable[[QueuedRequest], bool] | None = None
+    ) -> QueuedRequest | None:
         """Return the oldest."""
         if not self._line:
             return None
@@ -49,14 +49,14 @@
             return None
         return self._line.pop(waiting.request_id)
 
-    def give_up(self, now: float) -> list[tuple[Waiting, Refusal]]:
+    def give_up(self, now: float) -> list[tuple[QueuedRequest, Refusal]]:
         """Return what is past its deadline."""
         for waiting in [each for each in self._line.values() if each.deadline <= now]:
             self._dropped.append((self._line.pop(waiting.request_id), OVERLOADED))
         dropped, self._dropped = self._dropped, []
         return dropped
 
-    def remove(self, request_ids: Iterable[str]) -> list[Waiting]:
+    def remove(self, request_ids: Iterable[str]) -> list[QueuedRequest]:
         """Remove what is cancelled."""
         known = [each for each in request_ids if each in self._line]
         return [self._line.pop(each) for each in known]
@@ -76,8 +76,8 @@
         self._next_drop = 0.0
 
     def take(
-        self, now: float, accept: Callable[[Waiting], bool] | None = None
-    ) -> Waiting | None:
+        self, now: float, accept: Callable[[QueuedRequest], bool] | None = None
+    ) -> QueuedRequest | None:
         """Return the oldest that is not dropped."""
         while self._line and self._must_drop(now):
             _, waiting = self._line.popitem(last=False)
@@ -104,8 +104,8 @@
     """Last in, first out, with the old ones given up at their deadline."""
 
     def take(
-        self, now: float, accept: Callable[[Waiting], bool] | None = None
-    ) -> Waiting | None:
+        self, now: float, accept: Callable[[QueuedRequest], bool] | None = None
+    ) -> QueuedRequest | None:
         """Return the newest."""
         if not self._line:
             return None
@@ -124,7 +124,7 @@
         self._adjusted = 0.0
         self._waits: deque[float] = deque(maxlen=16)
 
-    def offer(self, waiting: Waiting, now: float) -> Refusal | None:
+    def offer(self, waiting: QueuedRequest, now: float) -> Refusal | None:
         """Let in while there are credits."""
         self._adjust(now)
         if len(self._line) >= self._credits:
@@ -151,7 +151,7 @@
     SAMPLE = 1
 
     def choose(
-        self, waiting: Waiting, now: float, exclude: frozenset[str] = frozenset()
+        self, waiting: QueuedRequest, now: float, exclude: frozenset[str] = frozenset()
     ) -> str | None:
         """Return the one with the fewest in flight of a few."""
         self._advance(now)
@@ -161,7 +161,7 @@
     def finish(
         self,
         target: str,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         outcome: Outcome,
         seconds: float,
         now: float,
--- a/tools/bench/slopes.py
+++ b/tools/bench/slopes.py
@@ -255,7 +255,7 @@
             racks_per_cell=16,
         )
         started = time.perf_counter()
-        SettingsView(settings).find_promises()
+        SettingsView(settings).find_guaranteed_shapes()
         seconds = time.perf_counter() - started
         fleet = msgspec.json.encode(settings.fleet)
         workers = msgspec.json.encode(settings.fleet.workers)
