--- a/features/doubles/requests.py
+++ b/features/doubles/requests.py
@@ -21,7 +21,7 @@
     ProcessLease,
     Registration,
 )
-from primrosestile.decisions.queueing import QueuedRequest, make_queue
+from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import make_router
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.entry import DirectoryCheck
--- a/features/doubles/slots.py
+++ b/features/doubles/slots.py
@@ -6,7 +6,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.turns import Turns
-from primrosestile.decisions.queueing import QueuedRequest, make_queue
+from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import Outcome, make_router
 from primrosestile.state.tenancy import Policy, Urgency
 
--- a/features/requests/machines.py
+++ b/features/requests/machines.py
@@ -16,7 +16,7 @@
     MIN_RETRY_AFTER_SECONDS,
 )
 from primrosestile.decisions.capacity import LEAVING_SECONDS
-from primrosestile.decisions.queueing import QueuedRequest, Refusal, make_queue
+from primrosestile.decisions.request_queue import QueuedRequest, Refusal, make_queue
 from primrosestile.decisions.routing import Outcome, make_router
 from primrosestile.decisions.slots import (
     DELIVERY_SECONDS,
@@ -122,7 +122,7 @@
             self.running.append((target, waiting))
         # Collects requests that `take` found to be too late, as an entry does.
         if self.queue.next_check(self.now) == self.now:
-            self.give_up()
+            self.remove_late()
         for waiting in self.list_heads():
             assert self.router.choose(waiting, self.now) is None, "left waiting"
 
@@ -187,13 +187,13 @@
         while (check := self.queue.next_check(self.now)) is not None and check <= until:
             self.now = max(self.now, check)
             before = len(self.waiting)
-            self.give_up()
+            self.remove_late()
             if len(self.waiting) == before:
                 self.now = min(until, self.now + 1e-3)
                 if self.now >= until:
                     break
         self.now = until
-        self.give_up()
+        self.remove_late()
         self.was_paused = False
 
     @rule(seconds=st.floats(0.01, 5.0))
@@ -202,8 +202,8 @@
         self.now += seconds
         self.was_paused = True
 
-    def give_up(self) -> None:
-        for waiting, refusal in self.queue.give_up(self.now):
+    def remove_late(self) -> None:
+        for waiting, refusal in self.queue.remove_late(self.now):
             self.check_refusal(refusal)
             del self.waiting[waiting.request_id]
             self.answer(waiting, "given up")
--- a/features/settings/doubles.py
+++ b/features/settings/doubles.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from primrosestile.coordination.settingstore import put_setting
-from primrosestile.decisions.settingsparts import split_document
+from primrosestile.decisions.settings_parts import split_document
 from primrosestile.state.settings import Settings
 from primrosestile_standin.store import MemoryStore
 
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -15,7 +15,7 @@
 
 from primrosestile.decisions import access
 from primrosestile.decisions.access import find_rights, hash_token, read_bearer
-from primrosestile.decisions.settingschange import check_change
+from primrosestile.decisions.settings_change import check_change
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.common import answer_failure
 from primrosestile.programs.logs import set_up_logs
--- a/features/steps/coordination_steps.py
+++ b/features/steps/coordination_steps.py
@@ -11,7 +11,7 @@
 from primrosestile.clock import read_clock
 from primrosestile.coordination.sending import Sending
 from primrosestile.coordination.turns import Turns
-from primrosestile.decisions.queueing import QueuedRequest, make_queue
+from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import make_router
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder
 from primrosestile.state.tenancy import Policy, Urgency
--- a/features/steps/follower_steps.py
+++ b/features/steps/follower_steps.py
@@ -26,9 +26,9 @@
     make_setting_key,
     put_setting,
 )
-from primrosestile.decisions.settingscheck import check_raw
-from primrosestile.decisions.settingsparts import list_load_steps
-from primrosestile.decisions.settingsview import SettingsView
+from primrosestile.decisions.settings_check import check_raw
+from primrosestile.decisions.settings_parts import list_load_steps
+from primrosestile.decisions.settings_view import SettingsView
 from primrosestile.state.fleet import Fleet
 from primrosestile.state.settings import Settings, StoredSetting
 from primrosestile_standin.store import MemoryStore
--- a/features/steps/joining_steps.py
+++ b/features/steps/joining_steps.py
@@ -23,9 +23,9 @@
 from primrosestile.coordination.exchange import Exchange
 from primrosestile.coordination.gangs import Command
 from primrosestile.coordination.membership import PROCESSES_PREFIX, Directory
-from primrosestile.decisions.queueing import QueuedRequest, make_queue
+from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import make_router
-from primrosestile.decisions.settingsview import view_settings
+from primrosestile.decisions.settings_view import view_settings
 from primrosestile.errors import Failure
 from primrosestile.protocol.messages import Body, CellDigests, DemandReport
 from primrosestile.protocol.workers import (
--- a/features/steps/placement_decisions_steps.py
+++ b/features/steps/placement_decisions_steps.py
@@ -14,7 +14,6 @@
 from primrosestile.decisions.cell import CellView, Demand, Holding
 from primrosestile.decisions.fragmentation_moves import find_move
 from primrosestile.decisions.guarantees import assign_guarantees
-from primrosestile.decisions.learning import RunTimes
 from primrosestile.decisions.placement import (
     NeverFits,
     Reclaim,
@@ -22,6 +21,7 @@
     decide_placement,
     order_demands,
 )
+from primrosestile.decisions.run_times import RunTimes
 from primrosestile.state.fleet import Worker
 from primrosestile.state.jobs import Member, ReasonCode
 from primrosestile.state.tenancy import Adjacency, Policy, Shape, Urgency
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -14,7 +14,7 @@
 from primrosestile.decisions.allowances import Allowances, Grant
 from primrosestile.decisions.overdue import OverdueWatch, Running
 from primrosestile.decisions.quarantine import make_ledger
-from primrosestile.decisions.queueing import QueuedRequest, make_queue
+from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import Outcome as Ended, Router, make_router
 from primrosestile.decisions.slots import GRANT_SECONDS, make_grant_ledger, share_safely
 from primrosestile.state.tenancy import Policy, Urgency
@@ -263,7 +263,7 @@
         now = step / 4
         if step % (4 // slots) == 0:
             context.queue.take(now)
-        for waiting, _ in context.queue.give_up(now):
+        for waiting, _ in context.queue.remove_late(now):
             context.dropped.append((now, waiting))
 
 
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -16,9 +16,9 @@
 
 from primrosestile.coordination.follower import make_follower
 from primrosestile.coordination.settingstore import encode_stored
-from primrosestile.decisions.settingschange import check_change
-from primrosestile.decisions.settingscheck import check_document
-from primrosestile.decisions.settingsparts import list_load_steps, split_document
+from primrosestile.decisions.settings_change import check_change
+from primrosestile.decisions.settings_check import check_document
+from primrosestile.decisions.settings_parts import list_load_steps, split_document
 from primrosestile.state.settings import Settings, StoredSetting
 from primrosestile_standin.store import MemoryStore
 
--- a/features/steps/settingstore_steps.py
+++ b/features/steps/settingstore_steps.py
@@ -24,7 +24,7 @@
     put_setting,
     read_setting,
 )
-from primrosestile.decisions.settingschange import check_change
+from primrosestile.decisions.settings_change import check_change
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Swap
 from primrosestile.state.settings import StoredSetting
--- a/src/primrosestile/coordination/caretaking.py
+++ b/src/primrosestile/coordination/caretaking.py
@@ -17,7 +17,7 @@
 from primrosestile.coordination.cell import CellKeeper
 from primrosestile.coordination.membership import Directory, ProcessLease
 from primrosestile.decisions.nearness import rank_placers
-from primrosestile.decisions.settingsview import view_settings
+from primrosestile.decisions.settings_view import view_settings
 from primrosestile.errors import Failure
 from primrosestile.protocol.workers import TaskPhase, WorkerReport, Workers
 from primrosestile.state.fleet import Cell
--- a/src/primrosestile/coordination/cell.py
+++ b/src/primrosestile/coordination/cell.py
@@ -18,9 +18,9 @@
 from primrosestile.coordination.reconciling import Recovery, decide_recovery
 from primrosestile.coordination.slotsharing import SlotSharing
 from primrosestile.decisions.cell import CellView
-from primrosestile.decisions.learning import RunTimes
 from primrosestile.decisions.quarantine import make_ledger
-from primrosestile.decisions.settingsview import view_settings
+from primrosestile.decisions.run_times import RunTimes
+from primrosestile.decisions.settings_view import view_settings
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.messages import CellDigest, DemandReport
 from primrosestile.protocol.store import Store
--- a/src/primrosestile/coordination/celldata.py
+++ b/src/primrosestile/coordination/celldata.py
@@ -13,8 +13,8 @@
 from primrosestile.coordination.gangs import Command
 from primrosestile.coordination.jobbook import JobBook
 from primrosestile.decisions.cell import CellView, Demand, Holding
-from primrosestile.decisions.learning import RunTimes
 from primrosestile.decisions.quarantine import FailureLedger
+from primrosestile.decisions.run_times import RunTimes
 from primrosestile.protocol.workers import WorkerReport
 from primrosestile.state.fleet import Worker
 from primrosestile.state.jobs import JobRecord, Member, Reason
--- a/src/primrosestile/coordination/cellwatch.py
+++ b/src/primrosestile/coordination/cellwatch.py
@@ -18,7 +18,7 @@
 from primrosestile.coordination.vmwatch import VmWatch
 from primrosestile.decisions.cellchoice import CellPicture
 from primrosestile.decisions.nearness import choose_near, choose_near_targets
-from primrosestile.decisions.settingsview import SettingsView, view_settings
+from primrosestile.decisions.settings_view import SettingsView, view_settings
 from primrosestile.errors import Failure
 from primrosestile.protocol.messages import CellDigests, DemandReport
 from primrosestile.protocol.peers import Peers
--- a/src/primrosestile/coordination/claimed.py
+++ b/src/primrosestile/coordination/claimed.py
@@ -15,7 +15,7 @@
 from primrosestile.coordination.claims import Claims, HeldClaim, compute_fingerprint
 from primrosestile.coordination.sending import Sending
 from primrosestile.coordination.turns import Turns
-from primrosestile.decisions.queueing import QueuedRequest
+from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.decisions.routing import Outcome
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder
--- a/src/primrosestile/coordination/dispatch.py
+++ b/src/primrosestile/coordination/dispatch.py
@@ -10,7 +10,7 @@
 from primrosestile.coordination.claims import Claims
 from primrosestile.coordination.sending import Sending
 from primrosestile.coordination.turns import TargetCounts, Turns
-from primrosestile.decisions.queueing import QueuedRequest, RequestQueue
+from primrosestile.decisions.request_queue import QueuedRequest, RequestQueue
 from primrosestile.decisions.routing import Router
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder, Targets
--- a/src/primrosestile/coordination/exchange.py
+++ b/src/primrosestile/coordination/exchange.py
@@ -16,11 +16,11 @@
 from primrosestile.clock import read_clock
 from primrosestile.coordination.membership import Directory
 from primrosestile.decisions.cellchoice import CellPicture
-from primrosestile.decisions.pacing import (
+from primrosestile.decisions.poll_intervals import (
     EXCHANGE_SECONDS,
     choose_exchange_seconds,
 )
-from primrosestile.decisions.settingsview import view_settings
+from primrosestile.decisions.settings_view import view_settings
 from primrosestile.errors import Failure
 from primrosestile.protocol.messages import CellDigest, CellDigests, DigestRequest
 from primrosestile.protocol.peers import Peers
--- a/src/primrosestile/coordination/follower.py
+++ b/src/primrosestile/coordination/follower.py
@@ -19,7 +19,7 @@
 
 from primrosestile.coordination.settingstore import decode_stored, encode_stored
 from primrosestile.coordination.writing import list_all
-from primrosestile.decisions.settingsparts import ExcludedWorker, assemble_fleet
+from primrosestile.decisions.settings_parts import ExcludedWorker, assemble_fleet
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Change, Store
 from primrosestile.state.fleet import Fleet, Worker
--- a/src/primrosestile/coordination/following.py
+++ b/src/primrosestile/coordination/following.py
@@ -16,7 +16,7 @@
 from primrosestile.coordination.actions import JobActions
 from primrosestile.coordination.celldata import CellData, Contact
 from primrosestile.coordination.gangs import Stage, go_gang, make_task_id
-from primrosestile.decisions.pacing import choose_poll_seconds
+from primrosestile.decisions.poll_intervals import choose_poll_seconds
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import TaskPhase, WorkerReport
 from primrosestile.state.jobs import JobRecord, JobState, ReasonCode
--- a/src/primrosestile/coordination/turns.py
+++ b/src/primrosestile/coordination/turns.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from primrosestile.clock import read_clock
-from primrosestile.decisions.queueing import QueuedRequest, Refusal, RequestQueue
+from primrosestile.decisions.request_queue import QueuedRequest, Refusal, RequestQueue
 from primrosestile.decisions.routing import Outcome, Router
 from primrosestile.errors import ErrorKind, Failure
 
@@ -112,7 +112,7 @@
 
     def _give_up(self) -> None:
         """Answer at once those that can't be served in time, not at their deadline."""
-        for waiting, refusal in self.queue.give_up(read_clock()):
+        for waiting, refusal in self.queue.remove_late(read_clock()):
             turn = self._turns.pop(waiting.request_id)
             if not turn.future.done():
                 turn.future.set_exception(_make_failure(refusal))
--- a/src/primrosestile/decisions/capacity.py
+++ b/src/primrosestile/decisions/capacity.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from primrosestile.decisions.allowances import Allowances, Grant
-from primrosestile.decisions.sampling import SampledSet
+from primrosestile.decisions.sampled_set import SampledSet
 
 # How long a target that reported that it is leaving counts as leaving, even if a
 # lagging list does not show it.
--- a/src/primrosestile/decisions/nearness.py
+++ b/src/primrosestile/decisions/nearness.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from primrosestile.decisions.settingsview import SettingsView
+from primrosestile.decisions.settings_view import SettingsView
 from primrosestile.state.jobs import ProcessRecord
 
 
--- a/src/primrosestile/decisions/queueing.py
+++ b/src/primrosestile/decisions/request_queue.py
@@ -22,7 +22,7 @@
     decide_admission,
 )
 from primrosestile.decisions.fairness import Entry, FairLine
-from primrosestile.decisions.servicetimes import (
+from primrosestile.decisions.service_times import (
     DrainRate,
     ServiceTimeEstimates,
     WaitCorrection,
@@ -129,7 +129,7 @@
                 return entry.waiting
         return None
 
-    def give_up(self, now: float) -> list[tuple[QueuedRequest, Refusal]]:
+    def remove_late(self, now: float) -> list[tuple[QueuedRequest, Refusal]]:
         """Remove and return requests that can no longer meet their deadlines."""
         self._advance(now)
         self._collect_expired(now)
--- a/src/primrosestile/decisions/routing.py
+++ b/src/primrosestile/decisions/routing.py
@@ -24,7 +24,7 @@
     Running,
 )
 from primrosestile.decisions.retries import make_retry_budget
-from primrosestile.decisions.servicetimes import ServiceTimeEstimates
+from primrosestile.decisions.service_times import ServiceTimeEstimates
 from primrosestile.state.tenancy import Policy, Urgency
 
 __all__ = ["Outcome", "Router", "make_router"]
--- a/src/primrosestile/decisions/settingschange.py
+++ b/src/primrosestile/decisions/settings_change.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from primrosestile.decisions.settingscheck import (
+from primrosestile.decisions.settings_check import (
     Fault,
     affects_guarantee_capacity,
     check_raw,
     read_json,
 )
-from primrosestile.decisions.settingsparts import WORKERS, ExcludedWorker, map_racks
+from primrosestile.decisions.settings_parts import WORKERS, ExcludedWorker, map_racks
 from primrosestile.state.settings import (
     FLEET_PATH,
     GUARANTEES_PATH,
--- a/src/primrosestile/decisions/settingscheck.py
+++ b/src/primrosestile/decisions/settings_check.py
@@ -16,14 +16,14 @@
 import msgspec
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from primrosestile.decisions.settingscheckfields import (
+from primrosestile.decisions.settings_field_rules import (
     NUMBERS,
     REFERENCES,
     TEXTS,
     UNIQUES,
     UniqueRule,
 )
-from primrosestile.decisions.settingscheckwhole import find_record_faults
+from primrosestile.decisions.settings_record_rules import find_record_faults
 from primrosestile.state.settings import (
     FLEET_PATH,
     GUARANTEES_PATH,
--- a/src/primrosestile/programs/clichanges.py
+++ b/src/primrosestile/programs/clichanges.py
@@ -7,7 +7,7 @@
 
 from primrosestile.coordination.settingstore import decode_stored, put_setting
 from primrosestile.coordination.writing import list_all
-from primrosestile.decisions.settingsparts import list_load_steps
+from primrosestile.decisions.settings_parts import list_load_steps
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.cliclient import Client, read_file, run_client
 from primrosestile.programs.clidocuments import read_json, set_part
--- a/src/primrosestile/programs/cliclient.py
+++ b/src/primrosestile/programs/cliclient.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from primrosestile.decisions.settingscheck import Fault
+from primrosestile.decisions.settings_check import Fault
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.answers import REQUEST_ID_HEADER
 from primrosestile.programs.clioutput import CommandFailure, ErrorBody
--- a/src/primrosestile/programs/clioutput.py
+++ b/src/primrosestile/programs/clioutput.py
@@ -15,7 +15,7 @@
 import msgspec
 import typer
 
-from primrosestile.decisions.settingscheck import Fault
+from primrosestile.decisions.settings_check import Fault
 from primrosestile.errors import ErrorKind, Failure, Ran
 
 
--- a/src/primrosestile/programs/clisettings.py
+++ b/src/primrosestile/programs/clisettings.py
@@ -7,8 +7,8 @@
 
 import typer
 
-from primrosestile.decisions.settingscheck import check_document
-from primrosestile.decisions.settingsparts import split_document
+from primrosestile.decisions.settings_check import check_document
+from primrosestile.decisions.settings_parts import split_document
 from primrosestile.programs.cliclient import Client, call_once, read_file, run_client
 from primrosestile.programs.clidocuments import (
     compare_values,
--- a/src/primrosestile/programs/entry.py
+++ b/src/primrosestile/programs/entry.py
@@ -15,7 +15,7 @@
 from primrosestile.coordination.dispatch import Dispatcher
 from primrosestile.coordination.membership import Directory
 from primrosestile.coordination.submission import Submissions
-from primrosestile.decisions.queueing import make_queue
+from primrosestile.decisions.request_queue import make_queue
 from primrosestile.decisions.routing import make_router
 from primrosestile.programs.common import (
     add_health_routes,
--- a/src/primrosestile/programs/entryapp.py
+++ b/src/primrosestile/programs/entryapp.py
@@ -14,7 +14,7 @@
 from primrosestile.coordination.submission import Submission, Submissions
 from primrosestile.decisions.access import Rights, require_rights
 from primrosestile.decisions.cellchoice import choose_cell
-from primrosestile.decisions.queueing import QueuedRequest
+from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.common import answer_failure, answer_json
 from primrosestile.programs.entryrequests import (
--- a/src/primrosestile/programs/entryrequests.py
+++ b/src/primrosestile/programs/entryrequests.py
@@ -11,7 +11,7 @@
 
 from primrosestile.coordination.submission import make_job_id
 from primrosestile.decisions.access import Rights
-from primrosestile.decisions.settingsview import view_settings
+from primrosestile.decisions.settings_view import view_settings
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.state.jobs import JobSpec
 from primrosestile.state.settings import Settings
--- a/src/primrosestile/programs/parts.py
+++ b/src/primrosestile/programs/parts.py
@@ -16,7 +16,7 @@
     Registration,
 )
 from primrosestile.coordination.relay import Place, Relay, make_relay
-from primrosestile.decisions.settingsview import view_settings
+from primrosestile.decisions.settings_view import view_settings
 from primrosestile.programs.common import Health
 from primrosestile.programs.metrics import Metrics
 from primrosestile.state.jobs import ProcessRecord
--- a/src/primrosestile/programs/stewardsettings.py
+++ b/src/primrosestile/programs/stewardsettings.py
@@ -22,11 +22,11 @@
     put_setting,
 )
 from primrosestile.decisions.access import require_operator
-from primrosestile.decisions.settingschange import (
+from primrosestile.decisions.settings_change import (
     check_change,
     describe_excluded_worker,
 )
-from primrosestile.decisions.settingscheck import Fault, check_settings
+from primrosestile.decisions.settings_check import Fault, check_settings
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.answers import read_request_id
 from primrosestile.programs.common import answer_json
--- a/tools/bench/placement_schedulers.py
+++ b/tools/bench/placement_schedulers.py
@@ -5,7 +5,6 @@
 
 from primrosestile.decisions.cell import CellView, Demand
 from primrosestile.decisions.fragmentation_moves import INTERVAL_SECONDS, find_move
-from primrosestile.decisions.learning import RunTimes
 from primrosestile.decisions.placement import Decision, Placed, Waits, order_demands
 from primrosestile.decisions.placement_queue import decide_waiting
 from primrosestile.decisions.placement_rooms import (
@@ -13,6 +12,7 @@
     list_places,
     make_members,
 )
+from primrosestile.decisions.run_times import RunTimes
 from primrosestile.state.fleet import Worker
 from primrosestile.state.jobs import ReasonCode
 from primrosestile.state.tenancy import Policy, Shape
--- a/tools/bench/placement_slopes.py
+++ b/tools/bench/placement_slopes.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from primrosestile.decisions.cell import CellView, Demand, Holding
-from primrosestile.decisions.learning import RunTimes
 from primrosestile.decisions.placement import (
     Placed,
     Reclaim,
     decide_placement,
     order_demands,
 )
+from primrosestile.decisions.run_times import RunTimes
 from primrosestile.state.fleet import Worker
 from primrosestile.state.tenancy import Adjacency, Policy, Shape, Urgency
 
--- a/tools/bench/requests_driver.py
+++ b/tools/bench/requests_driver.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from primrosestile.decisions.queueing import QueuedRequest
+from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.state.tenancy import Urgency
 
 CONNECTIONS = 64
--- a/tools/bench/requests_policies.py
+++ b/tools/bench/requests_policies.py
@@ -5,7 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from primrosestile.decisions.queueing import QueuedRequest, RequestQueue, make_queue
+from primrosestile.decisions.request_queue import (
+    QueuedRequest,
+    RequestQueue,
+    make_queue,
+)
 from primrosestile.decisions.routing import Outcome, Router, make_router
 from primrosestile.decisions.slots import GRANT_SECONDS, make_grant_ledger
 from primrosestile.state.tenancy import Policy
@@ -139,7 +143,7 @@
 
     def _answer_hopeless(self) -> None:
         now = self._clock.now
-        for waiting, _ in self.queue.give_up(now):
+        for waiting, _ in self.queue.remove_late(now):
             attempt = self._attempts.pop(waiting.request_id)
             late = now > waiting.deadline
             end(attempt.result, "refused_late" if late else "given_up", now)
--- a/tools/bench/requests_slopes.py
+++ b/tools/bench/requests_slopes.py
@@ -3,7 +3,11 @@
 import time
 from collections.abc import Callable
 
-from primrosestile.decisions.queueing import QueuedRequest, RequestQueue, make_queue
+from primrosestile.decisions.request_queue import (
+    QueuedRequest,
+    RequestQueue,
+    make_queue,
+)
 from primrosestile.decisions.routing import Outcome, Router, make_router
 from primrosestile.decisions.slots import make_grant_ledger, share_safely, share_slots
 from primrosestile.state.tenancy import Policy, Urgency
@@ -70,7 +74,7 @@
     }
     steps = iter(range(1, 1000))
     figures["give_up_look_us"] = measure(
-        lambda: len(queue.give_up(next(steps) * 0.25)) or 1
+        lambda: len(queue.remove_late(next(steps) * 0.25)) or 1
     )
     waves = [fill_queue(length) for _ in range(REPEATS)]
     ids = [f"request-{number}" for number in range(length)]
--- a/tools/bench/requests_ways.py
+++ b/tools/bench/requests_ways.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable, Iterable
 
-from primrosestile.decisions.queueing import QueuedRequest, Refusal, RequestQueue
+from primrosestile.decisions.request_queue import QueuedRequest, Refusal, RequestQueue
 from primrosestile.decisions.routing import Outcome, Router
 from primrosestile.errors import ErrorKind
 from primrosestile.state.tenancy import Policy
@@ -49,7 +49,7 @@
             return None
         return self._line.pop(waiting.request_id)
 
-    def give_up(self, now: float) -> list[tuple[QueuedRequest, Refusal]]:
+    def remove_late(self, now: float) -> list[tuple[QueuedRequest, Refusal]]:
         """Return what is past its deadline."""
         for waiting in [each for each in self._line.values() if each.deadline <= now]:
             self._dropped.append((self._line.pop(waiting.request_id), OVERLOADED))
--- a/tools/bench/slopes.py
+++ b/tools/bench/slopes.py
@@ -13,7 +13,7 @@
 import aiohttp
 import msgspec
 
-from primrosestile.decisions.settingsview import SettingsView
+from primrosestile.decisions.settings_view import SettingsView
 from primrosestile.state.jobs import (
     JobRecord,
     JobSpec,
--- a/tools/launch.py
+++ b/tools/launch.py
@@ -29,7 +29,7 @@
 import msgspec
 
 from primrosestile.coordination.settingstore import put_setting
-from primrosestile.decisions.settingsparts import split_document
+from primrosestile.decisions.settings_parts import split_document
 from primrosestile.state.fleet import Fleet
 from primrosestile.state.process import ProcessSettings
 from primrosestile.state.settings import Settings
--- a/tools/settingspage.py
+++ b/tools/settingspage.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from primrosestile.decisions.settingscheckfields import (
+from primrosestile.decisions.settings_field_rules import (
     NUMBERS,
     REFERENCES,
     TEXTS,
