--- a/features/doubles/cells.py
+++ b/features/doubles/cells.py
@@ -27,7 +27,7 @@
 from primrosestile.coordination.ownership import Ownership
 from primrosestile.coordination.submission import Submission, Submissions
 from primrosestile.coordination.vmwatch import VmWatch
-from primrosestile.decisions.cellchoice import CellPicture
+from primrosestile.decisions.cellchoice import CellSummary
 from primrosestile.errors import Failure
 from primrosestile.protocol.workers import TaskReport
 from primrosestile.state.fleet import Cell, FailureDomain, Fleet, Rack, Worker
@@ -88,7 +88,7 @@
 class NoOtherCell:
     """Knows of no cell that a waiting job could be moved to."""
 
-    def list_pictures(self, organisation: str, shape: Shape) -> list[CellPicture]:
+    def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
         return []
 
     def note_handed(self, cell: str, accelerators: int) -> None:
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -12,7 +12,7 @@
 from tools.bench.requests_workloads import find_plan
 
 from primrosestile.decisions.allowances import Allowances, Grant
-from primrosestile.decisions.overdue import OverdueWatch, Running
+from primrosestile.decisions.overdue import Running, StragglerDetector
 from primrosestile.decisions.quarantine import make_ledger
 from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import Outcome as Ended, Router, make_router
@@ -697,7 +697,7 @@
 
 @given("an attempt that began at this moment and is expected to take no time")
 def start_quick_attempt(context: Any) -> None:
-    context.overdue = OverdueWatch()
+    context.overdue = StragglerDetector()
     context.overdue.start(Running("target-1", "r1", 10.0, 0.0, 0.0))
 
 
--- a/src/primrosestile/coordination/cellwatch.py
+++ b/src/primrosestile/coordination/cellwatch.py
@@ -16,8 +16,8 @@
 from primrosestile.coordination.exchange import DigestTable
 from primrosestile.coordination.membership import Directory
 from primrosestile.coordination.vmwatch import VmWatch
-from primrosestile.decisions.cellchoice import CellPicture
-from primrosestile.decisions.nearness import choose_near, choose_near_targets
+from primrosestile.decisions.cellchoice import CellSummary
+from primrosestile.decisions.nearness import select_local, select_local_targets
 from primrosestile.decisions.settings_view import SettingsView, view_settings
 from primrosestile.errors import Failure
 from primrosestile.protocol.messages import CellDigests, DemandReport
@@ -80,7 +80,7 @@
     ) -> None:
         view = view_settings(self._read_settings())
         found = self._directory.records("placer")
-        near = choose_near(self._failure_domain, found, view)
+        near = select_local(self._failure_domain, found, view)
         placers = {record.name: record for record in near}
         for name in [name for name in tasks if name not in placers]:
             tasks.pop(name).cancel()
@@ -91,7 +91,7 @@
         if self._directory.listed.is_set() and self._following <= self._asked:
             self.informed.set()
         entries = self._directory.records("entry")
-        sharing = choose_near(self._failure_domain, entries, view)
+        sharing = select_local(self._failure_domain, entries, view)
         self._dispatcher.router.set_entries([each.name for each in sharing])
 
     async def _follow(self, record: ProcessRecord) -> None:
@@ -164,7 +164,7 @@
                 # Other settings may put other placers near.
                 self._changed.set()
             self._routed = (view, leaving)
-            slots = choose_near_targets(self._failure_domain, view)
+            slots = select_local_targets(self._failure_domain, view)
             self._dispatcher.router.set_targets(slots, frozenset(leaving), now)
         self._dispatcher.queue.set_slots(self._dispatcher.router.count_slots(now))
         self._dispatcher.wake()
@@ -173,7 +173,7 @@
         """Note a job that was handed to a cell."""
         self._table.note_handed(cell, accelerators)
 
-    def list_pictures(self, organisation: str, shape: Shape) -> list[CellPicture]:
+    def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
         """Return what is known of each cell that could ever hold the shape."""
         return self._table.list_pictures(
             self._read_settings(), organisation, shape, FRESH_SECONDS
--- a/src/primrosestile/coordination/exchange.py
+++ b/src/primrosestile/coordination/exchange.py
@@ -15,7 +15,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.membership import Directory
-from primrosestile.decisions.cellchoice import CellPicture
+from primrosestile.decisions.cellchoice import CellSummary
 from primrosestile.decisions.poll_intervals import (
     EXCHANGE_SECONDS,
     choose_exchange_seconds,
@@ -91,7 +91,7 @@
 
     def list_pictures(
         self, settings: Settings, organisation: str, shape: Shape, seconds: float
-    ) -> list[CellPicture]:
+    ) -> list[CellSummary]:
         """Return what is known of each cell that could ever hold the shape.
 
         Args:
@@ -112,11 +112,11 @@
             if capacity.can_hold(shape)
         ]
 
-    def _picture(self, cell: str, promised: bool, seconds: float) -> CellPicture:
+    def _picture(self, cell: str, promised: bool, seconds: float) -> CellSummary:
         digest = self.find_fresh(cell, seconds)
         if digest is None:
-            return CellPicture(cell, {}, 0, promised, fresh=False)
-        return CellPicture(
+            return CellSummary(cell, {}, 0, promised, fresh=False)
+        return CellSummary(
             cell,
             digest.free,
             digest.waiting,
@@ -211,7 +211,7 @@
             working[domain] = working.get(domain, False) or works
         return working
 
-    def list_pictures(self, organisation: str, shape: Shape) -> list[CellPicture]:
+    def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
         """Return what is known of each cell that could ever hold a shape."""
         return self.table.list_pictures(
             self._read_settings(), organisation, shape, self._fresh_seconds
--- a/src/primrosestile/coordination/placing.py
+++ b/src/primrosestile/coordination/placing.py
@@ -19,7 +19,7 @@
 from primrosestile.coordination.upkeep import Upkeep
 from primrosestile.decisions.backfill import order_demands
 from primrosestile.decisions.cell import Demand, Holding
-from primrosestile.decisions.cellchoice import CellPicture
+from primrosestile.decisions.cellchoice import CellSummary
 from primrosestile.decisions.placement import (
     Decision,
     NeverFits,
@@ -50,7 +50,7 @@
 class Elsewhere(Protocol):
     """What is known of the other cells."""
 
-    def list_pictures(self, organisation: str, shape: Shape) -> list[CellPicture]:
+    def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
         """Return the cells that could ever hold a shape, this one included."""
         ...
 
--- a/src/primrosestile/coordination/shifting.py
+++ b/src/primrosestile/coordination/shifting.py
@@ -21,10 +21,10 @@
 from primrosestile.coordination.submission import make_job_id
 from primrosestile.coordination.writing import put_settled
 from primrosestile.decisions.cellchoice import (
-    SHIFT_PAUSE_SECONDS,
-    CellPicture,
-    ShiftQuestion,
-    decide_shift,
+    MOVE_COOLDOWN_SECONDS,
+    CellSummary,
+    MoveQuery,
+    decide_move,
 )
 from primrosestile.protocol.store import Store
 from primrosestile.state.jobs import JobRecord, JobState, ReasonCode
@@ -35,8 +35,8 @@
 def find_destination(
     record: JobRecord,
     entitled: bool,
-    here: CellPicture,
-    others: Sequence[CellPicture],
+    here: CellSummary,
+    others: Sequence[CellSummary],
 ) -> str | None:
     """Return the cell to which a waiting job should move, or None.
 
@@ -52,13 +52,11 @@
         for reason in record.history
         if reason.code is ReasonCode.MOVED_TO_CELL
     ]
-    if moved and now - moved[-1] < SHIFT_PAUSE_SECONDS:
+    if moved and now - moved[-1] < MOVE_COOLDOWN_SECONDS:
         return None
     since = record.history[-1].time if record.history else record.accepted_at
-    question = ShiftQuestion(
-        record.spec.shape, record.spec.urgency, now - since, entitled
-    )
-    return decide_shift(question, here, others)
+    question = MoveQuery(record.spec.shape, record.spec.urgency, now - since, entitled)
+    return decide_move(question, here, others)
 
 
 async def move_job(
--- a/src/primrosestile/decisions/capacity.py
+++ b/src/primrosestile/decisions/capacity.py
@@ -108,7 +108,7 @@
         self._expect_change(self._reported_leaving[target], (target,))
         self._refresh(target)
 
-    def set_resting(self, target: str, excluded: bool) -> None:
+    def set_excluded(self, target: str, excluded: bool) -> None:
         """Exclude a target from ordinary choice, or include it again."""
         if excluded:
             self._excluded.add(target)
--- a/src/primrosestile/decisions/cellchoice.py
+++ b/src/primrosestile/decisions/cellchoice.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CellPicture:
+class CellSummary:
     """What an entry knows of one cell.
 
     Attributes:
@@ -45,7 +45,7 @@
         return self.fresh and bool(self.free)
 
 
-def has_room(summary: CellPicture, shape: Shape) -> bool:
+def has_room(summary: CellSummary, shape: Shape) -> bool:
     """Whether the shape may fit now, judged by the free counts."""
     counts = summary.free.values()
     if shape.accelerators > sum(counts) - summary.handed:
@@ -57,15 +57,15 @@
 
 # A waiting job moves once another cell could start it at once, but not before its own
 # cell has had the time to reclaim capacity, which takes a round or two of seconds.
-SHIFT_AFTER_SECONDS = 4.0
+MOVE_AFTER_SECONDS = 4.0
 # Urgent work has 5.8 s to start, of which a move and a start may take three.
-SHIFT_URGENT_AFTER_SECONDS = 1.5
+MOVE_URGENT_AFTER_SECONDS = 1.5
 # A job that was just moved stays, or two full cells would move it back and forth.
-SHIFT_PAUSE_SECONDS = 30.0
+MOVE_COOLDOWN_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
-class ShiftQuestion:
+class MoveQuery:
     """A waiting job that its own cell may move to another.
 
     Attributes:
@@ -79,8 +79,8 @@
     entitled: bool
 
 
-def decide_shift(
-    question: ShiftQuestion, here: CellPicture, others: Sequence[CellPicture]
+def decide_move(
+    question: MoveQuery, here: CellSummary, others: Sequence[CellSummary]
 ) -> str | None:
     """Return the cell to which a waiting job should move, or None.
 
@@ -90,9 +90,9 @@
     between two queues gains nothing.
     """
     lost = not here.is_working
-    wait_limit = SHIFT_AFTER_SECONDS
+    wait_limit = MOVE_AFTER_SECONDS
     if question.urgency is Urgency.URGENT or lost:
-        wait_limit = SHIFT_URGENT_AFTER_SECONDS
+        wait_limit = MOVE_URGENT_AFTER_SECONDS
     if question.waited < wait_limit or (question.entitled and not lost):
         return None
     candidates = [
@@ -104,7 +104,7 @@
     return choose_cell(candidates, question.shape)
 
 
-def choose_cell(summaries: Sequence[CellPicture], shape: Shape) -> str | None:
+def choose_cell(summaries: Sequence[CellSummary], shape: Shape) -> str | None:
     """Return the cell to send a job to, None if there are no cells.
 
     In this order: an owner with recent digests and usable workers, since a cell without
@@ -113,7 +113,7 @@
     with room, which keeps whole workers and racks free in the others.
     """
 
-    def rank(summary: CellPicture) -> tuple[bool, bool, bool, int, int, str]:
+    def rank(summary: CellSummary) -> tuple[bool, bool, bool, int, int, str]:
         room = has_room(summary, shape) and summary.waiting == 0
         total = sum(summary.free.values()) - summary.handed
         return (
--- a/src/primrosestile/decisions/fairness.py
+++ b/src/primrosestile/decisions/fairness.py
@@ -35,7 +35,7 @@
     waiting: QueuedRequest | None
     work: float
     offered_at: float = 0.0
-    foreseen_wait: float = 0.0
+    estimated_wait: float = 0.0
 
 
 class _Flow:
@@ -136,7 +136,7 @@
         }
 
 
-class FairLine:
+class FairQueue:
     """The waiting requests of one urgency."""
 
     def __init__(self) -> None:
--- a/src/primrosestile/decisions/nearness.py
+++ b/src/primrosestile/decisions/nearness.py
@@ -35,7 +35,7 @@
     return [placer.name for placer in ordered]
 
 
-def choose_near(
+def select_local(
     failure_domain: str, placers: Iterable[ProcessRecord], view: SettingsView
 ) -> list[ProcessRecord]:
     """Return the placers of the own region; all placers if it has none."""
@@ -47,7 +47,7 @@
     return local or found
 
 
-def choose_near_targets(failure_domain: str, view: SettingsView) -> dict[str, int]:
+def select_local_targets(failure_domain: str, view: SettingsView) -> dict[str, int]:
     """Return the slots of the own region's workers; those of all if it has none.
 
     A short request whose caller waits is answered locally: the latency between regions
--- a/src/primrosestile/decisions/overdue.py
+++ b/src/primrosestile/decisions/overdue.py
@@ -10,8 +10,8 @@
 
 # An attempt is a straggler once it has run four times as long as the 0.9 quantile of
 # its class. With run times that vary as much as their mean, one in ten thousand is.
-OVERDUE_QUANTILE = 0.9
-OVERDUE_FACTOR = 4.0
+STRAGGLER_QUANTILE = 0.9
+STRAGGLER_FACTOR = 4.0
 # The loop's clock moves in steps, and a target may answer within one. An attempt of age
 # 0 would be due again at once, for ever, and block the entry.
 MIN_AGE_SECONDS = 0.05
@@ -30,10 +30,10 @@
     request_id: str
     started_at: float
     expected: float
-    remarkable: float
+    straggler_after: float
 
 
-class OverdueWatch:
+class StragglerDetector:
     """Attempts in progress, by the time at which they become stragglers."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
     def start(self, running: Running) -> None:
         """Watch an attempt."""
         self._running[(running.target, running.request_id)] = running
-        self._watch(running, running.remarkable)
+        self._watch(running, running.straggler_after)
 
     def finish(self, target: str, request_id: str) -> bool:
         """Stop watching an attempt; return whether it had become a straggler."""
--- a/src/primrosestile/decisions/request_queue.py
+++ b/src/primrosestile/decisions/request_queue.py
@@ -21,7 +21,7 @@
     WaitEstimate,
     decide_admission,
 )
-from primrosestile.decisions.fairness import Entry, FairLine
+from primrosestile.decisions.fairness import Entry, FairQueue
 from primrosestile.decisions.service_times import (
     DrainRate,
     ServiceTimeEstimates,
@@ -60,7 +60,7 @@
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
-        self._queues = {urgency: FairLine() for urgency in Urgency}
+        self._queues = {urgency: FairQueue() for urgency in Urgency}
         self._entries: dict[str, Entry] = {}
         self._latest_starts: list[tuple[float, str]] = []
         self._late: list[QueuedRequest] = []
@@ -124,7 +124,7 @@
             if entry is not None and entry.waiting is not None:
                 self._charge(urgency, entry.work)
                 self._corrections[urgency].note(
-                    entry.foreseen_wait, now - entry.offered_at
+                    entry.estimated_wait, now - entry.offered_at
                 )
                 return entry.waiting
         return None
@@ -313,7 +313,7 @@
             # Recorded too: served requests alone would bias the correction to
             # estimates that held.
             self._corrections[entry.waiting.urgency].note(
-                entry.foreseen_wait, now - entry.offered_at
+                entry.estimated_wait, now - entry.offered_at
             )
             self._late += self.remove([request_id])
 
--- a/src/primrosestile/decisions/routing.py
+++ b/src/primrosestile/decisions/routing.py
@@ -18,10 +18,10 @@
 from primrosestile.decisions.headroom import Headroom
 from primrosestile.decisions.outliers import make_outliers
 from primrosestile.decisions.overdue import (
-    OVERDUE_FACTOR,
-    OVERDUE_QUANTILE,
-    OverdueWatch,
+    STRAGGLER_FACTOR,
+    STRAGGLER_QUANTILE,
     Running,
+    StragglerDetector,
 )
 from primrosestile.decisions.retries import make_retry_budget
 from primrosestile.decisions.service_times import ServiceTimeEstimates
@@ -73,7 +73,7 @@
         self._capacity = Capacity(process_name)
         self._outliers = make_outliers(policy.quarantine_share)
         self._service_times = ServiceTimeEstimates()
-        self._stragglers = OverdueWatch()
+        self._stragglers = StragglerDetector()
         self._paused_failing: set[str] = set()
         self._budget = make_retry_budget(policy.retry_ratio)
         # Randomness only spreads load, so a fixed seed is enough, and tests get the
@@ -134,7 +134,7 @@
         times = self._service_times.find(waiting.class_key)
         if times is not None and times.count >= MIN_SAMPLES:
             straggler_seconds = (
-                times.estimate_quantile(OVERDUE_QUANTILE) * OVERDUE_FACTOR
+                times.estimate_quantile(STRAGGLER_QUANTILE) * STRAGGLER_FACTOR
             )
             self._stragglers.start(
                 Running(target, waiting.request_id, now, times.mean, straggler_seconds)
@@ -302,7 +302,7 @@
 
     def _update_ejected(self) -> None:
         for target in self._outliers.collect_changed():
-            self._capacity.set_resting(target, self._outliers.is_ejected(target))
+            self._capacity.set_excluded(target, self._outliers.is_ejected(target))
 
     def _advance(self, now: float) -> None:
         self._capacity.advance(now)
