--- a/features/doubles/cells.py
+++ b/features/doubles/cells.py
@@ -27,7 +27,7 @@
 from primrosestile.coordination.ownership import Ownership
 from primrosestile.coordination.submission import Submission, Submissions
 from primrosestile.coordination.vmwatch import VmWatch
-from primrosestile.decisions.cellchoice import CellSummary
+from primrosestile.decisions.cell_selection import CellSummary
 from primrosestile.errors import Failure
 from primrosestile.protocol.workers import TaskReport
 from primrosestile.state.fleet import Cell, FailureDomain, Fleet, Rack, Worker
--- a/features/steps/placement_decisions_steps.py
+++ b/features/steps/placement_decisions_steps.py
@@ -12,7 +12,7 @@
 
 from primrosestile.decisions.backfill import PATIENT_WAIT_LIMIT, list_startable
 from primrosestile.decisions.cell import CellView, Demand, Holding
-from primrosestile.decisions.fragmentation_moves import find_move
+from primrosestile.decisions.defragmentation import find_move
 from primrosestile.decisions.guarantees import assign_guarantees
 from primrosestile.decisions.placement import (
     NeverFits,
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -7,8 +7,8 @@
 from placement_machine import SETTINGS, CellMachine, LossMachine, RebuildMachine
 from placement_oracle import can_keep
 
+from primrosestile.decisions.guarantee_allocations import Layout, Need, find_allocations
 from primrosestile.decisions.guarantees import assign_guarantees, find_infeasible
-from primrosestile.decisions.guarantees_rooms import Layout, Need, find_allocations
 from primrosestile.state.fleet import Cell, FailureDomain, Fleet, Rack, Worker
 from primrosestile.state.tenancy import Adjacency, Guarantee, Guarantees, Shape
 
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -12,11 +12,11 @@
 from tools.bench.requests_workloads import find_plan
 
 from primrosestile.decisions.allowances import Allowances, Grant
-from primrosestile.decisions.overdue import Running, StragglerDetector
 from primrosestile.decisions.quarantine import make_ledger
 from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import Outcome as Ended, Router, make_router
 from primrosestile.decisions.slots import GRANT_SECONDS, make_grant_ledger, share_safely
+from primrosestile.decisions.stragglers import Running, StragglerDetector
 from primrosestile.state.tenancy import Policy, Urgency
 
 
--- a/src/primrosestile/coordination/caretaking.py
+++ b/src/primrosestile/coordination/caretaking.py
@@ -16,7 +16,7 @@
 
 from primrosestile.coordination.cell import CellKeeper
 from primrosestile.coordination.membership import Directory, ProcessLease
-from primrosestile.decisions.nearness import rank_placers
+from primrosestile.decisions.locality import rank_placers
 from primrosestile.decisions.settings_view import view_settings
 from primrosestile.errors import Failure
 from primrosestile.protocol.workers import TaskPhase, WorkerReport, Workers
--- a/src/primrosestile/coordination/cellwatch.py
+++ b/src/primrosestile/coordination/cellwatch.py
@@ -16,8 +16,8 @@
 from primrosestile.coordination.exchange import DigestTable
 from primrosestile.coordination.membership import Directory
 from primrosestile.coordination.vmwatch import VmWatch
-from primrosestile.decisions.cellchoice import CellSummary
-from primrosestile.decisions.nearness import select_local, select_local_targets
+from primrosestile.decisions.cell_selection import CellSummary
+from primrosestile.decisions.locality import select_local, select_local_targets
 from primrosestile.decisions.settings_view import SettingsView, view_settings
 from primrosestile.errors import Failure
 from primrosestile.protocol.messages import CellDigests, DemandReport
--- a/src/primrosestile/coordination/exchange.py
+++ b/src/primrosestile/coordination/exchange.py
@@ -15,7 +15,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.membership import Directory
-from primrosestile.decisions.cellchoice import CellSummary
+from primrosestile.decisions.cell_selection import CellSummary
 from primrosestile.decisions.poll_intervals import (
     EXCHANGE_SECONDS,
     choose_exchange_seconds,
--- a/src/primrosestile/coordination/ownership.py
+++ b/src/primrosestile/coordination/ownership.py
@@ -29,7 +29,7 @@
 )
 from primrosestile.coordination.placing import Elsewhere
 from primrosestile.coordination.writing import delete_settled, put_settled
-from primrosestile.decisions.nearness import rank_placers
+from primrosestile.decisions.locality import rank_placers
 from primrosestile.decisions.settings_view import view_settings
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Store
--- a/src/primrosestile/coordination/placing.py
+++ b/src/primrosestile/coordination/placing.py
@@ -19,7 +19,7 @@
 from primrosestile.coordination.upkeep import Upkeep
 from primrosestile.decisions.backfill import order_demands
 from primrosestile.decisions.cell import Demand, Holding
-from primrosestile.decisions.cellchoice import CellSummary
+from primrosestile.decisions.cell_selection import CellSummary
 from primrosestile.decisions.placement import (
     Decision,
     NeverFits,
--- a/src/primrosestile/coordination/shifting.py
+++ b/src/primrosestile/coordination/shifting.py
@@ -20,7 +20,7 @@
 from primrosestile.coordination.jobbook import make_job_key
 from primrosestile.coordination.submission import make_job_id
 from primrosestile.coordination.writing import put_settled
-from primrosestile.decisions.cellchoice import (
+from primrosestile.decisions.cell_selection import (
     MOVE_COOLDOWN_SECONDS,
     CellSummary,
     MoveQuery,
--- a/src/primrosestile/coordination/upkeep.py
+++ b/src/primrosestile/coordination/upkeep.py
@@ -10,7 +10,7 @@
 from primrosestile.coordination.actions import JobActions
 from primrosestile.coordination.celldata import CellData
 from primrosestile.coordination.shifting import finish_move
-from primrosestile.decisions.fragmentation_moves import INTERVAL_SECONDS, find_move
+from primrosestile.decisions.defragmentation import INTERVAL_SECONDS, find_move
 from primrosestile.protocol.store import Store
 from primrosestile.state.jobs import JobRecord, JobState, ReasonCode
 
--- a/src/primrosestile/decisions/backfill.py
+++ b/src/primrosestile/decisions/backfill.py
@@ -13,7 +13,7 @@
 from primrosestile.decisions.cell import CellView, Demand, Reservation
 from primrosestile.decisions.cell_charges import Pinned
 from primrosestile.decisions.fragmentation import weigh_shapes
-from primrosestile.decisions.placement_rooms import list_free, list_places
+from primrosestile.decisions.placement_candidates import list_free, list_places
 from primrosestile.decisions.reclaim import is_entitled
 from primrosestile.decisions.run_times import RunTimes
 from primrosestile.state.tenancy import Policy, Urgency
--- a/src/primrosestile/decisions/cell.py
+++ b/src/primrosestile/decisions/cell.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable, Mapping, Sequence
 from types import MappingProxyType
 
+from primrosestile.decisions.cell_allocations import CellAllocations
 from primrosestile.decisions.cell_charges import Pinned
 from primrosestile.decisions.cell_records import Demand, Holding, Reservation
-from primrosestile.decisions.cell_rooms import CellAllocations
-from primrosestile.decisions.guarantees_rooms import Layout
+from primrosestile.decisions.guarantee_allocations import Layout
 from primrosestile.state.fleet import Worker
 from primrosestile.state.jobs import Member
 from primrosestile.state.tenancy import Shape, Urgency
--- a/src/primrosestile/decisions/cell_rooms.py
+++ b/src/primrosestile/decisions/cell_allocations.py
@@ -22,7 +22,7 @@
     order_charges,
     order_units,
 )
-from primrosestile.decisions.guarantees_rooms import (
+from primrosestile.decisions.guarantee_allocations import (
     Allocation,
     Layout,
     Need,
--- a/src/primrosestile/decisions/cell_charges.py
+++ b/src/primrosestile/decisions/cell_charges.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from primrosestile.decisions.guarantees_rooms import (
+from primrosestile.decisions.guarantee_allocations import (
     Allocation,
     Layout,
     Need,
--- a/src/primrosestile/decisions/fragmentation_moves.py
+++ b/src/primrosestile/decisions/defragmentation.py
@@ -10,7 +10,7 @@
 
 from primrosestile.decisions.cell import CellView, Holding
 from primrosestile.decisions.fragmentation import find_largest_shape
-from primrosestile.decisions.placement_rooms import (
+from primrosestile.decisions.placement_candidates import (
     Cost,
     Place,
     count_hosting,
--- a/src/primrosestile/decisions/fragmentation.py
+++ b/src/primrosestile/decisions/fragmentation.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 
 from primrosestile.decisions.cell import CellView, Demand
-from primrosestile.decisions.placement_rooms import count_hosting
+from primrosestile.decisions.placement_candidates import count_hosting
 from primrosestile.state.tenancy import Adjacency, Shape
 
 # Used when there are no guarantees: one whole worker of eight accelerators.
--- a/src/primrosestile/decisions/guarantees.py
+++ b/src/primrosestile/decisions/guarantees.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from primrosestile.decisions.cell import CellView
-from primrosestile.decisions.guarantees_rooms import Layout, Need, find_allocations
+from primrosestile.decisions.guarantee_allocations import Layout, Need, find_allocations
 from primrosestile.state.fleet import Cell, Fleet, Worker
 from primrosestile.state.tenancy import Adjacency, Guarantee, Guarantees, Shape
 
--- a/src/primrosestile/decisions/placement.py
+++ b/src/primrosestile/decisions/placement.py
@@ -11,7 +11,7 @@
 from primrosestile.decisions.backfill import list_startable, order_demands
 from primrosestile.decisions.cell import CellView, Demand
 from primrosestile.decisions.cell_charges import Pinned
-from primrosestile.decisions.placement_rooms import (
+from primrosestile.decisions.placement_candidates import (
     Place,
     fits_empty,
     list_free,
--- a/src/primrosestile/decisions/placement_rooms.py
+++ b/src/primrosestile/decisions/placement_candidates.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 
 from primrosestile.decisions.cell import CellView
-from primrosestile.decisions.guarantees_rooms import Layout
+from primrosestile.decisions.guarantee_allocations import Layout
 from primrosestile.state.jobs import Member
 from primrosestile.state.tenancy import Adjacency, Shape
 
--- a/src/primrosestile/decisions/placement_score.py
+++ b/src/primrosestile/decisions/placement_score.py
@@ -7,7 +7,7 @@
 
 from primrosestile.decisions.cell import CellView, Demand
 from primrosestile.decisions.fragmentation import FragmentationGrowth, weigh_shapes
-from primrosestile.decisions.placement_rooms import Cost
+from primrosestile.decisions.placement_candidates import Cost
 from primrosestile.state.tenancy import Policy
 
 # Assumed chance that lent accelerators are reclaimed while the work runs on them. It
--- a/src/primrosestile/decisions/reclaim.py
+++ b/src/primrosestile/decisions/reclaim.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from primrosestile.decisions.cell import CellView, Demand, Holding
-from primrosestile.decisions.placement_rooms import Place, list_free, list_places
+from primrosestile.decisions.placement_candidates import Place, list_free, list_places
 from primrosestile.state.tenancy import Urgency
 
 # Seconds that a checkpoint takes, during which the accelerators do no work.
--- a/src/primrosestile/decisions/routing.py
+++ b/src/primrosestile/decisions/routing.py
@@ -17,14 +17,14 @@
 from primrosestile.decisions.capacity import Capacity
 from primrosestile.decisions.headroom import Headroom
 from primrosestile.decisions.outliers import make_outliers
-from primrosestile.decisions.overdue import (
+from primrosestile.decisions.retries import make_retry_budget
+from primrosestile.decisions.service_times import ServiceTimeEstimates
+from primrosestile.decisions.stragglers import (
     STRAGGLER_FACTOR,
     STRAGGLER_QUANTILE,
     Running,
     StragglerDetector,
 )
-from primrosestile.decisions.retries import make_retry_budget
-from primrosestile.decisions.service_times import ServiceTimeEstimates
 from primrosestile.state.tenancy import Policy, Urgency
 
 __all__ = ["Outcome", "Router", "make_router"]
--- a/src/primrosestile/programs/entryapp.py
+++ b/src/primrosestile/programs/entryapp.py
@@ -13,7 +13,7 @@
 from primrosestile.coordination.dispatch import Dispatcher
 from primrosestile.coordination.submission import Submission, Submissions
 from primrosestile.decisions.access import Rights, require_rights
-from primrosestile.decisions.cellchoice import choose_cell
+from primrosestile.decisions.cell_selection import choose_cell
 from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.common import answer_failure, answer_json
--- a/tools/bench/placement_schedulers.py
+++ b/tools/bench/placement_schedulers.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass, field
 
 from primrosestile.decisions.cell import CellView, Demand
-from primrosestile.decisions.fragmentation_moves import INTERVAL_SECONDS, find_move
+from primrosestile.decisions.defragmentation import INTERVAL_SECONDS, find_move
 from primrosestile.decisions.placement import Decision, Placed, Waits, order_demands
-from primrosestile.decisions.placement_queue import decide_waiting
-from primrosestile.decisions.placement_rooms import (
+from primrosestile.decisions.placement_candidates import (
     list_free,
     list_places,
     make_members,
 )
+from primrosestile.decisions.placement_queue import decide_waiting
 from primrosestile.decisions.run_times import RunTimes
 from primrosestile.state.fleet import Worker
 from primrosestile.state.jobs import ReasonCode
