--- a/features/doubles/longday.py
+++ b/features/doubles/longday.py
@@ -16,7 +16,7 @@
 )
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.board import Board
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.platform.policy import read_policy
 from primrosestile.protocol.store import Entry
 from primrosestile.state.work import (
--- a/features/steps/work_crashes_steps.py
+++ b/features/steps/work_crashes_steps.py
@@ -12,7 +12,7 @@
 from features.steps.work_steps import make_id
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.planning import make_plan
+from primrosestile.decisions.work.plan import make_plan
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Proof
 from primrosestile.state.work import CrashCount, Need, Step
--- a/features/steps/work_decisions_steps.py
+++ b/features/steps/work_decisions_steps.py
@@ -7,15 +7,15 @@
 from behave import given, then, when
 from hypothesis import given as draw, settings, strategies as st
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.evacuating import find_evacuations
-from primrosestile.decisions.work.ordering import find_entitled, rank_unit
-from primrosestile.decisions.work.placing import could_hold, find_eligible, make_rooms
-from primrosestile.decisions.work.planning import Plan, Stop, make_plan
+from primrosestile.decisions.work.evacuation import find_evacuations
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.placement import could_hold, find_eligible, make_rooms
+from primrosestile.decisions.work.plan import Plan, Stop, make_plan
+from primrosestile.decisions.work.queue_order import find_entitled, rank_unit
 from primrosestile.decisions.work.speeds import Speeds
-from primrosestile.decisions.work.trust import Trust
 from primrosestile.decisions.work.units import Unit
+from primrosestile.decisions.work.worker_quarantine import Trust
 from primrosestile.state.policy import Policy, Pool, Queue
 from primrosestile.state.work import Need, Step, Submission
 from primrosestile.state.workers import EndKind, WorkerEntry
@@ -57,7 +57,7 @@
         rack=fields.get("rack", f"r{number % 2}"),
         leaving=fields.get("leaving", False),
     )
-    board.add_worker(entry).in_hand = fields.get("acquired", True)
+    board.add_worker(entry).acquired = fields.get("acquired", True)
 
 
 def add_job(
--- a/features/steps/work_freeing_steps.py
+++ b/features/steps/work_freeing_steps.py
@@ -6,9 +6,9 @@
 from behave import given, then, when
 from work_decisions_steps import add_job
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.planning import Stop, make_plan
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.plan import Stop, make_plan
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Proof, Unit
 from primrosestile.state.work import JobState, Need, Step
--- a/features/steps/work_heavy_steps.py
+++ b/features/steps/work_heavy_steps.py
@@ -11,8 +11,8 @@
 from work_decisions_steps import POOL, add_job, add_worker, make_fleet_state
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.planning import make_plan
-from primrosestile.decisions.work.preempting import CORES_PER_ACCELERATOR
+from primrosestile.decisions.work.plan import make_plan
+from primrosestile.decisions.work.preemption import CORES_PER_ACCELERATOR
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.state.work import (
     JobState,
--- a/features/steps/work_slow_owner_steps.py
+++ b/features/steps/work_slow_owner_steps.py
@@ -10,8 +10,13 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.keys import GIVEN_UP_KEY, WISHES_PREFIX
-from primrosestile.decisions.work.fitness import Fitness, Work, find_pause, find_serving
-from primrosestile.decisions.work.standing import find_stand_back
+from primrosestile.decisions.work.election_delay import find_stand_back
+from primrosestile.decisions.work.owner_health import (
+    Fitness,
+    OwnerMetrics,
+    find_pause,
+    find_serving,
+)
 from primrosestile.state.work import JobState
 
 # What sixty times the store's usual time for a call adds.
@@ -303,7 +308,7 @@
         assert low <= seconds <= high, (row.cells, seconds)
 
 
-SOUND = Work(
+SOUND = OwnerMetrics(
     wishes_age=0.5,
     records_age=0.1,
     workers=100,
--- a/src/primrosestile/coordination/work/advising.py
+++ b/src/primrosestile/coordination/work/advising.py
@@ -8,13 +8,13 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.advising import (
+from primrosestile.decisions.work.advice import (
     Question,
     choose_question,
     note_answer,
 )
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.errors import Failure
 from primrosestile.protocol.advice import AdviceCalls
 
--- a/src/primrosestile/coordination/work/election.py
+++ b/src/primrosestile/coordination/work/election.py
@@ -19,7 +19,7 @@
     find_lease_end,
     read_suspending_clock,
 )
-from primrosestile.decisions.work.fitness import SOUND_SECONDS, find_pause
+from primrosestile.decisions.work.owner_health import SOUND_SECONDS, find_pause
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import (
--- a/src/primrosestile/coordination/work/intake.py
+++ b/src/primrosestile/coordination/work/intake.py
@@ -31,7 +31,7 @@
 )
 from primrosestile.coordination.work.reading import Reader
 from primrosestile.coordination.work.recording import Recorder
-from primrosestile.decisions.work.board import Board
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Change, Entry
 from primrosestile.protocol.transactions import TransactionalStore, list_entries
--- a/src/primrosestile/coordination/work/links.py
+++ b/src/primrosestile/coordination/work/links.py
@@ -24,7 +24,7 @@
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
 from primrosestile.coordination.work.workerclock import Reading, WorkerClock
-from primrosestile.decisions.work.board import Board
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.decisions.work.units import Member, MemberState, Proof, Worker
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.fleet import (
@@ -135,9 +135,9 @@
 
     def record_silence(self, failure: Failure) -> None:
         """Give the worker no work until it answers a poll."""
-        if not self.worker.in_hand:
+        if not self.worker.acquired:
             return
-        self.worker.in_hand = False
+        self.worker.acquired = False
         self._was_silent = True
         _log.warning(
             "worker_silent",
@@ -189,7 +189,7 @@
         """
         sent_at = read_clock()
         entry = self.entry
-        until = self.find_lease_end() if self.worker.in_hand else None
+        until = self.find_lease_end() if self.worker.acquired else None
         wait = POLL_SECONDS if waiting and until is not None else 0.0
         answer = await self._calls.look(
             entry, self._term.fence, self._numbers.seen, until, wait
@@ -252,8 +252,8 @@
             self._process_end(ended)
         if look.complete and len(look.ended) < ENDS_PER_POLL:
             self._process_absent(look, sent_at)
-        if not self.worker.in_hand and self.clock.known:
-            self.worker.in_hand = True
+        if not self.worker.acquired and self.clock.known:
+            self.worker.acquired = True
             # An owner's first contacts with its workers are logged as one summary.
             if self._was_silent:
                 _log.info("worker_in_hand", worker=self.worker.name)
--- a/src/primrosestile/coordination/work/orders.py
+++ b/src/primrosestile/coordination/work/orders.py
@@ -17,10 +17,9 @@
 from primrosestile.coordination.work.logfields import name_member, name_unit
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.board import Board
-from primrosestile.decisions.work.pacing import Pace
-from primrosestile.decisions.work.planning import Assignment
-from primrosestile.decisions.work.trust import UNHEALTHY_SECONDS
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.paces import Pace
+from primrosestile.decisions.work.plan import Assignment
 from primrosestile.decisions.work.units import (
     Member,
     MemberState,
@@ -28,6 +27,7 @@
     Unit,
     Worker,
 )
+from primrosestile.decisions.work.worker_quarantine import UNHEALTHY_SECONDS
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.fleet import OrderAnswer, Refusal, StartOrder, WorkerCalls
 
@@ -206,12 +206,12 @@
         elif refusal is Refusal.TICKET:
             member.unit.permits.expire(worker.name)
         elif refusal is Refusal.UNHEALTHY:
-            worker.distrusted_until = max(
-                worker.distrusted_until, now + UNHEALTHY_SECONDS
+            worker.quarantined_until = max(
+                worker.quarantined_until, now + UNHEALTHY_SECONDS
             )
         elif refusal is Refusal.ROOM:
-            worker.distrusted_until = max(
-                worker.distrusted_until, now + NO_ROOM_PAUSE_SECONDS
+            worker.quarantined_until = max(
+                worker.quarantined_until, now + NO_ROOM_PAUSE_SECONDS
             )
 
     def pace(self, paces: Sequence[Pace]) -> None:
--- a/src/primrosestile/coordination/work/ownwatch.py
+++ b/src/primrosestile/coordination/work/ownwatch.py
@@ -17,13 +17,13 @@
 from primrosestile.coordination.work.metering import MeteredCalls
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.board import Board
-from primrosestile.decisions.work.fitness import (
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.owner_health import (
     MOST_SERVE_STEPS,
     WORKER_SECONDS,
     Fitness,
-    Trouble,
-    Work,
+    OwnerMetrics,
+    OwnerProblem,
 )
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import Condition, TransactionalStore
@@ -76,7 +76,7 @@
         self._delays: deque[float] = deque(maxlen=DELAY_SAMPLES)
         self._saving: asyncio.Task[None] | None = None
         self._saving_since = 0.0
-        self.work: Work | None = None
+        self.work: OwnerMetrics | None = None
         self.loaded = False
 
     async def run(self) -> None:
@@ -101,19 +101,21 @@
             try:
                 if self._fitness.given_up is None:
                     await self._read_record()
-                elif self._fitness.given_up and self._fitness.is_proven(read_clock()):
+                elif self._fitness.given_up and self._fitness.has_recovered(
+                    read_clock()
+                ):
                     await self._clear_record()
             except Failure as failure:
                 _log.info("given_up_record_not_reached", reason=str(failure))
             await asyncio.sleep(CHECK_SECONDS)
 
-    def _measure(self, now: float) -> Work:
+    def _measure(self, now: float) -> OwnerMetrics:
         renewed_ago = self._term.find_renewal_age()
         if renewed_ago > UNRENEWED_SECONDS:
             self._store_failed_at = now
         listed = [each for each in self._board.workers.values() if each.listed]
         calls, unanswered = self._calls.count()
-        return Work(
+        return OwnerMetrics(
             wishes_age=self._find_requests_age(now),
             records_age=self._find_records_age(now),
             workers=len(listed),
@@ -155,7 +157,7 @@
             self._saving_since = now
         return now - self._saving_since
 
-    def _resign(self, trouble: Trouble, work: Work) -> None:
+    def _resign(self, trouble: OwnerProblem, work: OwnerMetrics) -> None:
         _log.warning(
             "ownership_given_up",
             fence=self._term.fence,
--- a/src/primrosestile/coordination/work/passlog.py
+++ b/src/primrosestile/coordination/work/passlog.py
@@ -12,8 +12,8 @@
     name_unit,
 )
 from primrosestile.decisions.work.crashes import Crash
-from primrosestile.decisions.work.planning import Stop
-from primrosestile.decisions.work.rescuing import Rescue
+from primrosestile.decisions.work.plan import Stop
+from primrosestile.decisions.work.stall_restarts import Rescue
 from primrosestile.decisions.work.units import Member, Proof, Worker
 
 _log = structlog.get_logger()
@@ -32,7 +32,7 @@
 
 def log_workers_answered(workers: Collection[Worker]) -> None:
     """Log how many workers have answered a new owner, and which have not."""
-    silent = [each for each in workers if not each.in_hand]
+    silent = [each for each in workers if not each.acquired]
     _log.info(
         "workers_answered",
         count=len(workers) - len(silent),
--- a/src/primrosestile/coordination/work/roster.py
+++ b/src/primrosestile/coordination/work/roster.py
@@ -13,7 +13,7 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.decisions.work.board import Board
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.errors import Failure
 from primrosestile.protocol.fleet import WorkerList
 from primrosestile.state.workers import WorkerEntry
--- a/src/primrosestile/coordination/work/scheduling.py
+++ b/src/primrosestile/coordination/work/scheduling.py
@@ -38,14 +38,14 @@
     LEASE_SECONDS,
     SLOW_CLOCK_FACTOR,
 )
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.evacuating import find_evacuations
-from primrosestile.decisions.work.pacing import find_paces
-from primrosestile.decisions.work.planning import make_plan
+from primrosestile.decisions.work.evacuation import find_evacuations
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.paces import find_paces
+from primrosestile.decisions.work.plan import make_plan
 from primrosestile.decisions.work.speeds import Speeds
-from primrosestile.decisions.work.trust import AT_ONCE_SECONDS, Trust
 from primrosestile.decisions.work.units import Job, Member, Proof, Worker
+from primrosestile.decisions.work.worker_quarantine import AT_ONCE_SECONDS, Trust
 from primrosestile.errors import Failure
 from primrosestile.protocol.advice import AdviceCalls
 from primrosestile.protocol.fleet import WorkerCalls, WorkerList
@@ -261,8 +261,8 @@
             read_clock(),
             len(self._board.workers),
         )
-        if until > worker.distrusted_until:
-            worker.distrusted_until = until
+        if until > worker.quarantined_until:
+            worker.quarantined_until = until
             _log.warning("worker_distrusted", worker=worker.name)
 
     def _record_duration(self, member: Member) -> None:
@@ -335,7 +335,7 @@
     def _quarantine_worker(self, worker: Worker, now: float) -> None:
         """Quarantine a worker on which a task is stalled."""
         until = self._trust.note_still(worker.name, now, len(self._board.workers))
-        worker.distrusted_until = max(worker.distrusted_until, until)
+        worker.quarantined_until = max(worker.quarantined_until, until)
 
     def _open_due(self) -> None:
         """Open the occurrences of repeating jobs that are due."""
--- a/src/primrosestile/coordination/work/upkeep.py
+++ b/src/primrosestile/coordination/work/upkeep.py
@@ -21,9 +21,9 @@
 from primrosestile.coordination.work.term import Term
 from primrosestile.coordination.work.vmlist import VmList
 from primrosestile.coordination.work.waverecords import RecordUnreadable, WaveRecords
-from primrosestile.decisions.work.board import Board
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.maintenance import may_go, plan_upkeep
 from primrosestile.decisions.work.units import Proof
-from primrosestile.decisions.work.upkeep import may_go, plan_upkeep
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import TransactionalStore
 from primrosestile.protocol.upkeep import UpkeepAnswer, UpkeepCalls
--- a/src/primrosestile/coordination/work/waitingkeys.py
+++ b/src/primrosestile/coordination/work/waitingkeys.py
@@ -16,7 +16,7 @@
     make_waiting_key,
 )
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.board import Board
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.decisions.work.units import Job
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import (
--- a/src/primrosestile/decisions/work/advising.py
+++ b/src/primrosestile/decisions/work/advice.py
@@ -12,15 +12,15 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.ordering import find_entitled, rank_units
-from primrosestile.decisions.work.placing import (
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.placement import (
     Rooms,
     count_allowed,
     list_suitable,
     make_rooms,
 )
+from primrosestile.decisions.work.queue_order import find_entitled, rank_units
 from primrosestile.decisions.work.units import Permit, Unit
 from primrosestile.state.policy import Advised
 
--- a/src/primrosestile/decisions/work/evacuating.py
+++ b/src/primrosestile/decisions/work/evacuation.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Iterator
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 
 # How long before the worker may be gone its work is stopped: the order needs time to
--- a/src/primrosestile/decisions/work/evicting.py
+++ b/src/primrosestile/decisions/work/evictions.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.freeing import find_late_stop_factor
-from primrosestile.decisions.work.placing import (
+from primrosestile.decisions.work.held_room import find_late_stop_factor
+from primrosestile.decisions.work.placement import (
     Room,
     Rooms,
     count_allowed,
@@ -20,7 +20,7 @@
     list_racks,
     take_room,
 )
-from primrosestile.decisions.work.preempting import Eviction, find_cost, is_aged
+from primrosestile.decisions.work.preemption import Eviction, find_cost, is_aged
 from primrosestile.decisions.work.units import MemberState, Unit
 from primrosestile.state.work import Need
 
--- a/src/primrosestile/decisions/work/board.py
+++ b/src/primrosestile/decisions/work/fleet_state.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Iterable, Iterator
 
 from primrosestile.decisions.work.crashes import Crashes
-from primrosestile.decisions.work.preempting import UNSAVED_SECONDS
+from primrosestile.decisions.work.preemption import UNSAVED_SECONDS
 from primrosestile.decisions.work.units import (
     FINAL_PROOFS,
     UNKNOWN_PACE,
@@ -401,7 +401,7 @@
             "open_jobs": len(open_jobs),
             "waiting_units": phases.count(Phase.WAITING),
             "running_units": phases.count(Phase.ORDERED),
-            "workers_in_hand": sum(each.in_hand for each in self.workers.values()),
+            "workers_in_hand": sum(each.acquired for each in self.workers.values()),
             "workers": len(self.workers),
             "suspected_units": sum(
                 bool(unit.crashes) for job in open_jobs for unit in job.units.values()
--- a/src/primrosestile/decisions/work/freeing.py
+++ b/src/primrosestile/decisions/work/held_room.py
@@ -10,9 +10,9 @@
 
 from collections.abc import Iterable
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.crashes import is_isolated
-from primrosestile.decisions.work.placing import (
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.placement import (
     Room,
     Rooms,
     copy_rooms,
--- a/src/primrosestile/decisions/work/upkeep.py
+++ b/src/primrosestile/decisions/work/maintenance.py
@@ -12,8 +12,8 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.board import Board
-from primrosestile.decisions.work.preempting import find_cost
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.preemption import find_cost
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 from primrosestile.state.upkeep import VmState, Wave, WorkerVm
 
@@ -117,7 +117,7 @@
         taken: Workers that are away, or go with it.
     """
     worker = fleet_state.workers.get(vm.worker)
-    silent = {each.name for each in fleet_state.workers.values() if not each.in_hand}
+    silent = {each.name for each in fleet_state.workers.values() if not each.acquired}
     return worker is None or _respects_away_limits(worker, silent.union(taken))
 
 
--- a/src/primrosestile/decisions/work/mechanisms.py
+++ b/src/primrosestile/decisions/work/mechanisms.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.ordering import Rank, RankKey
-from primrosestile.decisions.work.placing import Rooms, find_locality_wait
-from primrosestile.decisions.work.preempting import may_stop
-from primrosestile.decisions.work.rescuing import Rescue, find_stall_restarts
-from primrosestile.decisions.work.reserving import reserve_room
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.placement import Rooms, find_locality_wait
+from primrosestile.decisions.work.preemption import may_stop
+from primrosestile.decisions.work.queue_order import Rank, RankKey
+from primrosestile.decisions.work.reservations import reserve_room
 from primrosestile.decisions.work.speeds import Speeds, find_slow
+from primrosestile.decisions.work.stall_restarts import Rescue, find_stall_restarts
 from primrosestile.decisions.work.units import Unit
 
 
--- a/src/primrosestile/decisions/work/fitness.py
+++ b/src/primrosestile/decisions/work/owner_health.py
@@ -58,7 +58,7 @@
 SOUND_SECONDS = 20.0
 
 
-class Trouble(StrEnum):
+class OwnerProblem(StrEnum):
     """Which part of the owner's work isn't done."""
 
     WISHES = "wishes not heard"
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class OwnerMetrics:
     """The owner's work, as measured at one moment.
 
     Attributes:
@@ -95,20 +95,20 @@
     served: float
 
 
-def find_trouble(work: Work) -> Trouble | None:
+def find_trouble(work: OwnerMetrics) -> OwnerProblem | None:
     """Return what isn't done though the store answers, or None if all is."""
     if min(work.wishes_age, work.store_answers) > WISHES_SECONDS:
-        return Trouble.WISHES
+        return OwnerProblem.WISHES
     if min(work.records_age, work.store_answers) > RECORDS_SECONDS:
-        return Trouble.RECORDS
+        return OwnerProblem.RECORDS
     if work.store_answers <= WORKER_SECONDS:
         return None
     if work.heard < work.workers * LEAST_HEARD_SHARE:
-        return Trouble.WORKERS
+        return OwnerProblem.WORKERS
     if work.loop_delay > LOOP_SECONDS:
-        return Trouble.PROCESSOR
+        return OwnerProblem.PROCESSOR
     if work.calls >= LEAST_CALLS and work.unanswered > UNANSWERED_SHARE:
-        return Trouble.CALLS
+        return OwnerProblem.CALLS
     return None
 
 
@@ -140,7 +140,7 @@
         self._troubled_since: float | None = None
         self._sound_since: float | None = None
 
-    def judge(self, work: Work, now: float) -> Trouble | None:
+    def judge(self, work: OwnerMetrics, now: float) -> OwnerProblem | None:
         """Return why the ownership should be given up now, or None."""
         trouble = find_trouble(work)
         if trouble is None:
@@ -157,7 +157,7 @@
             return None
         return trouble
 
-    def is_proven(self, now: float) -> bool:
+    def has_recovered(self, now: float) -> bool:
         """Whether the owner has been healthy for long enough to clear `given_up`."""
         since = self._sound_since
         return since is not None and now - since > SOUND_SECONDS
--- a/src/primrosestile/decisions/work/pacing.py
+++ b/src/primrosestile/decisions/work/paces.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.board import Board
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.decisions.work.units import (
     UNKNOWN_PACE,
     Member,
--- a/src/primrosestile/decisions/work/placing.py
+++ b/src/primrosestile/decisions/work/placement.py
@@ -13,12 +13,12 @@
 from collections.abc import Collection, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.crashes import (
     awaits_isolation,
     is_isolated,
     is_on_trial,
 )
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.decisions.work.units import Unit, Worker
 from primrosestile.state.work import Need
 
--- a/src/primrosestile/decisions/work/planning.py
+++ b/src/primrosestile/decisions/work/plan.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.crashes import is_isolated
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.evicting import Evictions, give_back
-from primrosestile.decisions.work.freeing import (
+from primrosestile.decisions.work.evictions import Evictions, give_back
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.held_room import (
     Holds,
     add_stopping,
     begin_stopping,
@@ -15,8 +15,7 @@
     note_stopping,
 )
 from primrosestile.decisions.work.mechanisms import Mechanisms, make_mechanisms
-from primrosestile.decisions.work.ordering import Rank, find_entitled, rank_units
-from primrosestile.decisions.work.placing import (
+from primrosestile.decisions.work.placement import (
     Rooms,
     copy_rooms,
     find_idle_pools,
@@ -24,14 +23,15 @@
     place,
     take_rooms,
 )
-from primrosestile.decisions.work.preempting import Eviction, is_affordable
-from primrosestile.decisions.work.rescuing import Rescue
-from primrosestile.decisions.work.reserving import (
+from primrosestile.decisions.work.preemption import Eviction, is_affordable
+from primrosestile.decisions.work.queue_order import Rank, find_entitled, rank_units
+from primrosestile.decisions.work.reservations import (
     RESERVED_UNITS,
     could_start_before,
     count_reservation,
 )
 from primrosestile.decisions.work.speeds import Speeds
+from primrosestile.decisions.work.stall_restarts import Rescue
 from primrosestile.decisions.work.units import Unit, Worker
 
 # An eviction that wastes less than this is made at once: what a small urgent job itself
--- a/src/primrosestile/decisions/work/ordering.py
+++ b/src/primrosestile/decisions/work/queue_order.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.decisions.work.units import Job, Unit
 
 # Past this many times its objective, a job's result is of no use to its caller.
--- a/src/primrosestile/decisions/work/reserving.py
+++ b/src/primrosestile/decisions/work/reservations.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.placing import (
+from primrosestile.decisions.work.placement import (
     Room,
     Rooms,
     count_allowed,
--- a/src/primrosestile/decisions/work/speeds.py
+++ b/src/primrosestile/decisions/work/speeds.py
@@ -12,8 +12,8 @@
 from collections.abc import Mapping
 from statistics import median
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
+from primrosestile.decisions.work.fleet_state import Board
 from primrosestile.decisions.work.units import Member, Unit
 
 # The weight of a new comparison: tasks of one step differ by 15%, so about the last
--- a/src/primrosestile/decisions/work/rescuing.py
+++ b/src/primrosestile/decisions/work/stall_restarts.py
@@ -14,9 +14,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.ordering import find_objective_seconds
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.queue_order import find_objective_seconds
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 
 # Workers are polled once a second; a running task progresses between two polls by at
@@ -49,7 +49,7 @@
     found: dict[int, Rescue] = {}
     best: dict[int, float] = {}
     for worker in board.workers.values():
-        if not worker.in_hand:
+        if not worker.acquired:
             continue
         for member in worker.members.values():
             if member.heard_at - member.up_at < STALL_SECONDS:
--- a/src/primrosestile/decisions/work/units.py
+++ b/src/primrosestile/decisions/work/units.py
@@ -325,12 +325,12 @@
     """
 
     entry: WorkerEntry
-    in_hand: bool = False
+    acquired: bool = False
     listed: bool = True
     proven: bool = False
     closed: bool = False
     cordoned: bool = False
-    distrusted_until: float = 0.0
+    quarantined_until: float = 0.0
     leaves_at: float = math.inf
     stop_late_at: float = -math.inf
     answered_at: float = -math.inf
@@ -349,13 +349,13 @@
     def may_take(self, now: float) -> bool:
         """Whether new work may go there at all."""
         return (
-            self.in_hand
+            self.acquired
             and self.listed
             and not self.closed
             and not self.cordoned
             and not self.entry.leaving
             and not self.orphaned_runs
-            and now >= self.distrusted_until
+            and now >= self.quarantined_until
         )
 
     def record_answer(self, now: float) -> None:
--- a/src/primrosestile/decisions/work/trust.py
+++ b/src/primrosestile/decisions/work/worker_quarantine.py
@@ -32,7 +32,7 @@
     """Jobs that failed on one worker since a run last succeeded there."""
 
     failed_jobs: set[str] = field(default_factory=set)
-    distrusted_until: float = 0.0
+    quarantined_until: float = 0.0
 
 
 class Trust:
@@ -66,8 +66,8 @@
         if self._count_quarantined(now) + 1 > LARGEST_SHARE * workers:
             return 0.0
         pause = QUARANTINE_SECONDS if known_bad else EARLY_FAILURE_QUARANTINE_SECONDS
-        history.distrusted_until = now + pause
-        return history.distrusted_until
+        history.quarantined_until = now + pause
+        return history.quarantined_until
 
     def note_still(self, worker: str, now: float, workers: int) -> float:
         """Record a stalled task; return until when the worker gets no work.
@@ -80,8 +80,8 @@
         if self._count_quarantined(now) + 1 > LARGEST_SHARE * workers:
             return 0.0
         history = self._histories.setdefault(worker, FailureHistory())
-        history.distrusted_until = max(history.distrusted_until, now + STALL_SECONDS)
-        return history.distrusted_until
+        history.quarantined_until = max(history.quarantined_until, now + STALL_SECONDS)
+        return history.quarantined_until
 
     def _count_quarantined(self, now: float) -> int:
-        return sum(each.distrusted_until > now for each in self._histories.values())
+        return sum(each.quarantined_until > now for each in self._histories.values())
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -14,7 +14,7 @@
 from primrosestile.coordination.work.scheduling import Scheduler, run_scheduler
 from primrosestile.coordination.work.submitting import Submitting
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.standing import find_stand_back
+from primrosestile.decisions.work.election_delay import find_stand_back
 from primrosestile.platform.advice import PlatformAdvice
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
 from primrosestile.platform.refusals import Fault, Refusals, Source
--- a/tools/bench/passes.py
+++ b/tools/bench/passes.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.planning import Plan, make_plan
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.plan import Plan, make_plan
 from primrosestile.decisions.work.speeds import Speeds
 from tools.bench.site_days import WORKLOADS
 from tools.bench.site_driver import SiteRun
--- a/tools/bench/site_driver.py
+++ b/tools/bench/site_driver.py
@@ -14,20 +14,20 @@
 from dataclasses import dataclass, field, replace
 from typing import Protocol
 
-from primrosestile.decisions.work.board import Board
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.ordering import Rank
-from primrosestile.decisions.work.placing import (
+from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.placement import (
     fill,
     find_eligible,
     make_rooms,
     take_rooms,
 )
-from primrosestile.decisions.work.planning import Assignment, Plan, make_plan
-from primrosestile.decisions.work.preempting import count_cores
+from primrosestile.decisions.work.plan import Assignment, Plan, make_plan
+from primrosestile.decisions.work.preemption import count_cores
+from primrosestile.decisions.work.queue_order import Rank
 from primrosestile.decisions.work.speeds import Speeds
-from primrosestile.decisions.work.trust import Trust
 from primrosestile.decisions.work.units import Proof, Unit
+from primrosestile.decisions.work.worker_quarantine import Trust
 from primrosestile.state.policy import Policy, Pool, Queue
 from primrosestile.state.work import JobState
 from primrosestile.state.workers import EndKind, WorkerEntry
@@ -214,7 +214,7 @@
         self._away = 0
         for number in range(workload.workers):
             entry = _make_worker(workload, number)
-            self._board.add_worker(entry).in_hand = True
+            self._board.add_worker(entry).acquired = True
             turn = number % len(workload.speeds)
             self._paces[entry.worker] = workload.speeds[turn]
             self._looked_at[entry.worker] = LOOK_SECONDS * number / workload.workers
@@ -338,7 +338,9 @@
             until = self._trust.note_still(
                 rescue.worker.name, self._now, len(self._board.workers)
             )
-            rescue.worker.distrusted_until = max(rescue.worker.distrusted_until, until)
+            rescue.worker.quarantined_until = max(
+                rescue.worker.quarantined_until, until
+            )
             self.day.rescues += 1
         for start in plan.starts:
             names = [worker.name for worker in start.workers]
@@ -471,7 +473,7 @@
         for member in unit.members:
             worker = self._board.workers[member.worker]
             if run.fails or self._failing[member.worker] > 0:
-                worker.distrusted_until = self._trust.note_failed(
+                worker.quarantined_until = self._trust.note_failed(
                     worker.name,
                     unit.job.job_id,
                     seconds,
