--- a/features/doubles/fleetworld.py
+++ b/features/doubles/fleetworld.py
@@ -16,7 +16,7 @@
 from primrosestile.coordination.work.scheduling import Scheduler, run_scheduler
 from primrosestile.coordination.work.submitting import Submitting
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.election_delay import find_stand_back
+from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.errors import Failure
 from primrosestile.platform.callers import read_submission
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
@@ -189,7 +189,7 @@
             policies=policies,
             submitting=Submitting(store, policies, POLICY_KEY),
             election=Election(
-                store, name, run_term, read_steady, find_stand_back(processor, mbps)
+                store, name, run_term, read_steady, find_election_delay(processor, mbps)
             ),
             calls=calls,
             link=link,
--- a/features/doubles/longday.py
+++ b/features/doubles/longday.py
@@ -16,7 +16,7 @@
 )
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.platform.policy import read_policy
 from primrosestile.protocol.store import Entry
 from primrosestile.state.work import (
@@ -75,20 +75,20 @@
     store = world.store.connect("earlier")
     fence = world.store.put(OWNER_KEY, b"")
     term = Term(fence, 0, math.inf, asyncio.Event(), read_clock)
-    board = Board(read_policy(Entry("", make_policy(1), 1, 1)), wall=0.0)
-    board.wall = read_wall_clock()
+    fleet_state = FleetState(read_policy(Entry("", make_policy(1), 1, 1)), wall=0.0)
+    fleet_state.wall = read_wall_clock()
     ended = EndedJobs(store, term, STATUS_KEPT_SECONDS)
-    recorder = Recorder(store, term, board, ended)
+    recorder = Recorder(store, term, fleet_state, ended)
     writing = asyncio.create_task(recorder.run())
     for entry in entries:
         job_id = entry.key.removeprefix(JOBS_PREFIX)
-        job = board.admit(make_submission(job_id, tasks), None, read_clock(), 0.0)
-        board.open_occurrence(job, 0)
+        job = fleet_state.admit(make_submission(job_id, tasks), None, read_clock(), 0.0)
+        fleet_state.open_occurrence(job, 0)
         recorder.note_job(job, entry.mod_revision)
         for unit in job.units.values():
             unit.run = 1
             unit.phase = Phase.DONE
-        board.finish(job, JobState.COMPLETED)
+        fleet_state.finish(job, JobState.COMPLETED)
     await recorder.save()
     writing.cancel()
     world.store.remove(OWNER_KEY)
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -372,7 +372,7 @@
 def check_known(context: Any) -> None:
     async def check() -> None:
         owner = context.world.find_owner()
-        assert set(owner.scheduler.board.workers) == {"w1", "w2", "w3", "w4"}
+        assert set(owner.scheduler.fleet_state.workers) == {"w1", "w2", "w3", "w4"}
 
     context.world.run(check())
 
--- a/features/steps/work_crashes_steps.py
+++ b/features/steps/work_crashes_steps.py
@@ -127,7 +127,7 @@
 def step_decided(context: Any, name: str, count: int) -> None:
     async def list_runs() -> list[int]:
         owner = context.world.find_owner()
-        job = owner.scheduler.board.jobs[make_id(name)]
+        job = owner.scheduler.fleet_state.jobs[make_id(name)]
         return [unit.run for unit in job.units.values()]
 
     runs = context.world.run(list_runs())
@@ -139,21 +139,21 @@
     " {first:d} and {second:d} crashes"
 )
 def step_in_use(context: Any, count: int, first: int, second: int) -> None:
-    board = context.board = make_fleet_state()
+    fleet_state = context.fleet_state = make_fleet_state()
     for number in range(count):
-        add_worker(board, number, 8)
-    add_job(board, 1, 1, (Step(count, Need(100, 100, 1)),))
-    for number, unit in enumerate(board.jobs[f"{1:016x}"].units.values()):
-        board.order(unit, [f"w{number}"], 0.0)
-    add_job(board, 2, 1, (Step(2, Need(100, 100, 1)),))
-    context.units = list(board.jobs[f"{2:016x}"].units.values())
+        add_worker(fleet_state, number, 8)
+    add_job(fleet_state, 1, 1, (Step(count, Need(100, 100, 1)),))
+    for number, unit in enumerate(fleet_state.jobs[f"{1:016x}"].units.values()):
+        fleet_state.order(unit, [f"w{number}"], 0.0)
+    add_job(fleet_state, 2, 1, (Step(2, Need(100, 100, 1)),))
+    context.units = list(fleet_state.jobs[f"{2:016x}"].units.values())
     for unit, crashes in zip(context.units, (first, second), strict=True):
         unit.crashes = {0: CrashCount(0, crashes, 1)}
 
 
 @when("a pass is planned")
 def step_pass(context: Any) -> None:
-    context.plan = make_plan(context.board, Durations(), Speeds(), 1.0)
+    context.plan = make_plan(context.fleet_state, Durations(), Speeds(), 1.0)
 
 
 @then("only the task with 1 crash is started")
@@ -164,35 +164,35 @@
 
 @given("a fleet state with a worker that fell silent with a task of {name} on it")
 def step_silent(context: Any, name: str) -> None:
-    board = context.board = make_fleet_state()
-    add_worker(board, 1, 8)
-    add_job(board, 1, 1, (Step(1, Need(1000, 1000, 1)),))
-    (unit,) = board.jobs[f"{1:016x}"].units.values()
-    board.order(unit, ["w1"], 0.0)
-    board.clear_worker(board.workers["w1"], Proof.LEASE_OVER, 10.0)
+    fleet_state = context.fleet_state = make_fleet_state()
+    add_worker(fleet_state, 1, 8)
+    add_job(fleet_state, 1, 1, (Step(1, Need(1000, 1000, 1)),))
+    (unit,) = fleet_state.jobs[f"{1:016x}"].units.values()
+    fleet_state.order(unit, ["w1"], 0.0)
+    fleet_state.clear_worker(fleet_state.workers["w1"], Proof.LEASE_OVER, 10.0)
 
 
 @when("the same incarnation is listed again")
 def step_listed(context: Any) -> None:
-    context.board.crashes.record_entry("a1", "w1", 11.0)
+    context.fleet_state.crashes.record_entry("a1", "w1", 11.0)
 
 
 @when("another incarnation answers at its address")
 def step_next_answers(context: Any) -> None:
-    context.board.crashes.record_answer("a1", "w9", 12.0)
+    context.fleet_state.crashes.record_answer("a1", "w9", 12.0)
 
 
 @when("the same incarnation answers")
 def step_same_answers(context: Any) -> None:
-    context.board.crashes.record_answer("a1", "w1", 11.5)
+    context.fleet_state.crashes.record_answer("a1", "w1", 11.5)
 
 
 @then("no crash of {name} is counted")
 def step_none_counted(context: Any, name: str) -> None:
-    assert not context.board.crashes.found
+    assert not context.fleet_state.crashes.found
 
 
 @then("{count:d} crash of {name} is counted")
 def step_counted(context: Any, count: int, name: str) -> None:
-    found = context.board.crashes.found
+    found = context.fleet_state.crashes.found
     assert [each.count.count for each in found] == [count], found
--- a/features/steps/work_decisions_steps.py
+++ b/features/steps/work_decisions_steps.py
@@ -9,13 +9,13 @@
 
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.evacuation import find_evacuations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.placement import could_hold, find_eligible, make_rooms
 from primrosestile.decisions.work.plan import Plan, Stop, make_plan
 from primrosestile.decisions.work.queue_order import find_entitled, rank_unit
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Unit
-from primrosestile.decisions.work.worker_quarantine import Trust
+from primrosestile.decisions.work.worker_quarantine import WorkerQuarantine
 from primrosestile.state.policy import Policy, Pool, Queue
 from primrosestile.state.work import Need, Step, Submission
 from primrosestile.state.workers import EndKind, WorkerEntry
@@ -35,7 +35,7 @@
 QUEUES = tuple(make_queue(priority) for priority in range(3))
 
 
-def make_fleet_state(guarantee: int = 0) -> Board:
+def make_fleet_state(guarantee: int = 0) -> FleetState:
     policy = Policy(
         1,
         1,
@@ -43,10 +43,12 @@
         {POOL: Pool(POOL, True)},
         guarantees=dict.fromkeys(ORGANISATIONS, guarantee),
     )
-    return Board(policy, wall=0.0)
+    return FleetState(policy, wall=0.0)
 
 
-def add_worker(board: Board, number: int, accelerators: int, **fields: Any) -> None:
+def add_worker(
+    fleet_state: FleetState, number: int, accelerators: int, **fields: Any
+) -> None:
     entry = WorkerEntry(
         worker=f"w{number}",
         address=f"a{number}",
@@ -57,11 +59,15 @@
         rack=fields.get("rack", f"r{number % 2}"),
         leaving=fields.get("leaving", False),
     )
-    board.add_worker(entry).acquired = fields.get("acquired", True)
+    fleet_state.add_worker(entry).acquired = fields.get("acquired", True)
 
 
 def add_job(
-    board: Board, number: int, priority: int, steps: tuple[Step, ...], **fields: Any
+    fleet_state: FleetState,
+    number: int,
+    priority: int,
+    steps: tuple[Step, ...],
+    **fields: Any,
 ) -> None:
     submission = Submission(
         f"{number:016x}",
@@ -71,8 +77,10 @@
         "",
         steps,
     )
-    job = board.admit(submission, None, fields.get("now", 0.0), fields.get("age", 0.0))
-    board.open_occurrence(job, 0)
+    job = fleet_state.admit(
+        submission, None, fields.get("now", 0.0), fields.get("age", 0.0)
+    )
+    fleet_state.open_occurrence(job, 0)
 
 
 STEPS = st.builds(
@@ -107,28 +115,30 @@
 )
 
 
-def build_fleet_state(workers: Any, jobs: Any, guarantee: int = 0) -> Board:
-    board = make_fleet_state(guarantee)
+def build_fleet_state(workers: Any, jobs: Any, guarantee: int = 0) -> FleetState:
+    fleet_state = make_fleet_state(guarantee)
     for number, (accelerators, labels, leaving, pool) in enumerate(workers):
         add_worker(
-            board, number, accelerators, labels=labels, leaving=leaving, pool=pool
+            fleet_state, number, accelerators, labels=labels, leaving=leaving, pool=pool
         )
     for number, (priority, step, organisation, age) in enumerate(jobs):
-        add_job(board, number, priority, (step,), organisation=organisation, age=age)
-    return board
+        add_job(
+            fleet_state, number, priority, (step,), organisation=organisation, age=age
+        )
+    return fleet_state
 
 
-def apply_plan(board: Board, plan: Plan, now: float) -> None:
+def apply_plan(fleet_state: FleetState, plan: Plan, now: float) -> None:
     for start in plan.starts:
-        board.order(start.unit, [worker.name for worker in start.workers], now)
+        fleet_state.order(start.unit, [worker.name for worker in start.workers], now)
 
 
-def plan_at(board: Board, now: float) -> Plan:
-    return make_plan(board, Durations(), Speeds(), now)
+def plan_at(fleet_state: FleetState, now: float) -> Plan:
+    return make_plan(fleet_state, Durations(), Speeds(), now)
 
 
-def check_bounds(board: Board) -> None:
-    for worker in board.workers.values():
+def check_bounds(fleet_state: FleetState) -> None:
+    for worker in fleet_state.workers.values():
         room = worker.find_room()
         assert min(room.processor, room.memory, room.accelerators) >= 0, worker.name
         spread: Counter[tuple[str, int, int]] = Counter()
@@ -146,10 +156,10 @@
     @TRIES
     @draw(WORKERS, JOBS)
     def check(workers: Any, jobs: Any) -> None:
-        board = build_fleet_state(workers, jobs)
+        fleet_state = build_fleet_state(workers, jobs)
         for now in (0.0, 5.0, 30.0):
-            apply_plan(board, plan_at(board, now), now)
-            check_bounds(board)
+            apply_plan(fleet_state, plan_at(fleet_state, now), now)
+            check_bounds(fleet_state)
 
     check()
 
@@ -159,8 +169,8 @@
     @TRIES
     @draw(WORKERS, JOBS)
     def check(workers: Any, jobs: Any) -> None:
-        board = build_fleet_state(workers, jobs)
-        for start in plan_at(board, 0.0).starts:
+        fleet_state = build_fleet_state(workers, jobs)
+        for start in plan_at(fleet_state, 0.0).starts:
             assert len(start.workers) == start.unit.size
 
     check()
@@ -171,14 +181,19 @@
     @TRIES
     @draw(WORKERS, JOBS, JOBS)
     def check(workers: Any, running: Any, waiting: Any) -> None:
-        board = build_fleet_state(workers, running, guarantee=8)
-        apply_plan(board, plan_at(board, 0.0), 0.0)
+        fleet_state = build_fleet_state(workers, running, guarantee=8)
+        apply_plan(fleet_state, plan_at(fleet_state, 0.0), 0.0)
         for number, (priority, step, organisation, _) in enumerate(waiting, 100):
             add_job(
-                board, number, priority, (step,), organisation=organisation, now=5.0
+                fleet_state,
+                number,
+                priority,
+                (step,),
+                organisation=organisation,
+                now=5.0,
             )
-        entitled = find_entitled(board)
-        plan = plan_at(board, 5.0)
+        entitled = find_entitled(fleet_state)
+        plan = plan_at(fleet_state, 5.0)
         for stop in plan.stops:
             assert stop.unit.job.job_id not in entitled
             assert stop.unit.abandoned
@@ -186,9 +201,9 @@
             if gainer.job_id not in entitled:
                 assert stop.unit.job.queue.priority > gainer.queue.priority
                 check_proportion(stop)
-        before = rank_all(board, 5.0)
-        end_stopping(board)
-        started = [*plan.starts, *plan_at(board, 5.0).starts]
+        before = rank_all(fleet_state, 5.0)
+        end_stopping(fleet_state)
+        started = [*plan.starts, *plan_at(fleet_state, 5.0).starts]
         taken = {start.unit.job.job_id for start in started}
         for stop in plan.stops:
             gainer = stop.gainer.job.job_id
@@ -211,9 +226,9 @@
     assert stop.cost <= 2 * stop.gainer.size * cores * seconds
 
 
-def end_stopping(board: Board) -> None:
-    for member in list(board.list_stopping()):
-        board.note_end(member.task, member.run, EndKind.STOPPED, "")
+def end_stopping(fleet_state: FleetState) -> None:
+    for member in list(fleet_state.list_stopping()):
+        fleet_state.note_end(member.task, member.run, EndKind.STOPPED, "")
 
 
 @then("on an empty fleet a drawn unit that could ever run is started")
@@ -221,13 +236,13 @@
     @TRIES
     @draw(WORKERS, STEPS)
     def check(workers: Any, step: Step) -> None:
-        board = build_fleet_state(workers, [(1, step, "domes", 0.0)])
-        unit = next(iter(next(iter(board.jobs.values())).units.values()))
+        fleet_state = build_fleet_state(workers, [(1, step, "domes", 0.0)])
+        unit = next(iter(next(iter(fleet_state.jobs.values())).units.values()))
         # Longer ago than any locality wait.
         unit.ready_at = -60.0
-        rooms = make_rooms(board, 0.0)
+        rooms = make_rooms(fleet_state, 0.0)
         could = could_hold(unit, find_eligible(unit, rooms, 0.0))
-        started = any(start.unit is unit for start in plan_at(board, 0.0).starts)
+        started = any(start.unit is unit for start in plan_at(fleet_state, 0.0).starts)
         assert started == could
 
     check()
@@ -235,32 +250,32 @@
 
 @given("a fleet state with {count:d} workers of {each:d} accelerators")
 def step_fleet(context: Any, count: int, each: int) -> None:
-    context.board = make_fleet_state()
+    context.fleet_state = make_fleet_state()
     context.durations = Durations()
     context.speeds = Speeds()
     for number in range(count):
-        add_worker(context.board, number, each, rack="r0")
+        add_worker(context.fleet_state, number, each, rack="r0")
 
 
 @when("tasks of one accelerator arrive all the time and a gang of 2 whole workers once")
 def step_stream(context: Any) -> None:
-    board = context.board
+    fleet_state = context.fleet_state
     small = Step(1, Need(100, 100, 1), estimate_seconds=3.0)
     gang = Step(2, Need(100, 100, 4), estimate_seconds=3.0, gang=True)
     context.gang_at = None
     ends: list[tuple[float, Unit]] = []
     for tick in range(200):
         now = tick * 0.2
-        add_job(board, 1000 + tick, 2, (small,), now=now)
-        add_job(board, 3000 + tick, 2, (small,), now=now)
+        add_job(fleet_state, 1000 + tick, 2, (small,), now=now)
+        add_job(fleet_state, 3000 + tick, 2, (small,), now=now)
         if tick == 10:
-            add_job(board, 1, 1, (gang,), now=now)
+            add_job(fleet_state, 1, 1, (gang,), now=now)
         for at, unit in [each for each in ends if each[0] <= now]:
             ends.remove((at, unit))
             for member in unit.members:
-                board.note_end(member.task, member.run, EndKind.DONE, "")
-        plan = make_plan(board, context.durations, context.speeds, now)
-        apply_plan(board, plan, now)
+                fleet_state.note_end(member.task, member.run, EndKind.DONE, "")
+        plan = make_plan(fleet_state, context.durations, context.speeds, now)
+        apply_plan(fleet_state, plan, now)
         for start in plan.starts:
             ends.append((now + 3.0, start.unit))
             if start.unit.step.gang and context.gang_at is None:
@@ -275,25 +290,25 @@
 
 @given("worker 0 has taken {factor:g} times as long as the others, {count:d} times")
 def step_slow(context: Any, factor: float, count: int) -> None:
-    board = context.board
+    fleet_state = context.fleet_state
     step = Step(4, Need(100, 100, 1), gang=True, most_per_worker=1)
     for number in range(count):
-        add_job(board, number, 1, (step,))
-        apply_plan(board, plan_at(board, 0.0), 0.0)
-        unit = next(iter(board.jobs[f"{number:016x}"].units.values()))
+        add_job(fleet_state, number, 1, (step,))
+        apply_plan(fleet_state, plan_at(fleet_state, 0.0), 0.0)
+        unit = next(iter(fleet_state.jobs[f"{number:016x}"].units.values()))
         for member in unit.members:
-            board.note_up(member, 0.1)
+            fleet_state.note_up(member, 0.1)
             member.percent = 90.0 / (factor if member.worker == "w0" else 1.0)
-            member.moved_at = 3.0
+            member.progressed_at = 3.0
         context.speeds.note_done(unit.members[0], 3.1)
         for member in unit.members:
-            board.note_end(member.task, member.run, EndKind.DONE, "")
+            fleet_state.note_end(member.task, member.run, EndKind.DONE, "")
 
 
 @when("an urgent task of one accelerator is placed")
 def step_urgent(context: Any) -> None:
-    add_job(context.board, 99, 0, (Step(1, Need(100, 100, 1)),))
-    plan = make_plan(context.board, context.durations, context.speeds, 4.0)
+    add_job(context.fleet_state, 99, 0, (Step(1, Need(100, 100, 1)),))
+    plan = make_plan(context.fleet_state, context.durations, context.speeds, 4.0)
     context.placed = plan.starts[0].workers[0].name
 
 
@@ -304,7 +319,7 @@
 
 @given("a quarantine for {count:d} workers")
 def step_quarantine(context: Any, count: int) -> None:
-    context.quarantine = Trust()
+    context.quarantine = WorkerQuarantine()
     context.count = count
 
 
@@ -347,11 +362,11 @@
     assert abs(guess - seconds) < 0.5, guess
 
 
-def rank_all(board: Board, now: float) -> list[str]:
+def rank_all(fleet_state: FleetState, now: float) -> list[str]:
     """Return the waiting jobs, the most urgent first."""
-    entitled = find_entitled(board)
+    entitled = find_entitled(fleet_state)
     ranked = sorted(
-        board.list_waiting(now),
+        fleet_state.list_waiting(now),
         key=lambda unit: rank_unit(
             unit, now, unit.job.job_id in entitled, Durations()
         ).make_key(),
@@ -361,23 +376,23 @@
 
 @given("two waiting jobs of one queue, one of them late")
 def step_late(context: Any) -> None:
-    context.board = make_fleet_state()
+    context.fleet_state = make_fleet_state()
     step = Step(1, BIG, estimate_seconds=2.0)
-    add_job(context.board, 1, 1, (step,), age=20.0)
-    add_job(context.board, 2, 1, (step,), age=1.0)
+    add_job(context.fleet_state, 1, 1, (step,), age=20.0)
+    add_job(context.fleet_state, 2, 1, (step,), age=1.0)
 
 
 @then("the one that can be in time goes first")
 def step_in_time(context: Any) -> None:
-    assert rank_all(context.board, 0.0)[0].endswith("2")
+    assert rank_all(context.fleet_state, 0.0)[0].endswith("2")
 
 
 @given("a waiting job of each priority, the lowest with the least slack")
 def step_priorities(context: Any) -> None:
-    context.board = make_fleet_state()
+    context.fleet_state = make_fleet_state()
     for priority, seconds in ((2, 1.0), (1, 4.0), (0, 9.0)):
         add_job(
-            context.board,
+            context.fleet_state,
             priority,
             priority,
             (Step(1, BIG, estimate_seconds=seconds),),
@@ -386,15 +401,15 @@
 
 @then("they go in the order of their queues' priorities")
 def step_in_order(context: Any) -> None:
-    order = [int(job, 16) for job in rank_all(context.board, 0.0)]
+    order = [int(job, 16) for job in rank_all(context.fleet_state, 0.0)]
     assert order == [0, 1, 2], order
 
 
 @given("a checkpointed gang of {count:d} tasks of {each:d} accelerators runs")
 def step_gang_runs(context: Any, count: int, each: int) -> None:
     step = Step(count, Need(100, 100, each), 1.0, gang=True, checkpoints=True)
-    add_job(context.board, 1, 1, (step,))
-    apply_plan(context.board, plan_at(context.board, 0.0), 0.0)
+    add_job(context.fleet_state, 1, 1, (step,))
+    apply_plan(context.fleet_state, plan_at(context.fleet_state, 0.0), 0.0)
 
 
 @when(
@@ -403,8 +418,8 @@
 )
 def step_bounded_gang(context: Any, count: int, each: int) -> None:
     step = Step(count, Need(100, 100, each), 4.0, gang=True, most_per_worker=1)
-    add_job(context.board, 2, 0, (step,), now=5.0)
-    context.plan = plan_at(context.board, 5.0)
+    add_job(context.fleet_state, 2, 0, (step,), now=5.0)
+    context.plan = plan_at(context.fleet_state, 5.0)
 
 
 @then("nothing is stopped")
@@ -414,18 +429,18 @@
 
 @given("domes and post are guaranteed {count:d} accelerators each")
 def step_guarantees(context: Any, count: int) -> None:
-    worker = context.board.workers["w0"].entry
-    context.board = make_fleet_state(count)
-    add_worker(context.board, 0, worker.capacity.accelerators)
+    worker = context.fleet_state.workers["w0"].entry
+    context.fleet_state = make_fleet_state(count)
+    add_worker(context.fleet_state, 0, worker.capacity.accelerators)
 
 
 @given("2 urgent tasks of domes and 2 low-priority tasks run")
 def step_mixed(context: Any) -> None:
     urgent = Step(2, Need(0, 100, 1), 1.0)
     low_priority = Step(2, Need(1000, 100, 1), 4.0)
-    add_job(context.board, 0, 0, (urgent,))
-    add_job(context.board, 2, 1, (low_priority,), organisation="post")
-    apply_plan(context.board, plan_at(context.board, 0.0), 0.0)
+    add_job(context.fleet_state, 0, 0, (urgent,))
+    add_job(context.fleet_state, 2, 1, (low_priority,), organisation="post")
+    apply_plan(context.fleet_state, plan_at(context.fleet_state, 0.0), 0.0)
 
 
 @when("a gang of 3 accelerators and 4 tasks of 1 wait, all urgent and of post")
@@ -433,15 +448,15 @@
     gang = Step(1, Need(0, 100, 3), 1.0, gang=True)
     tasks = Step(4, Need(0, 100, 1), 4.0, checkpoints=True)
     for number, step in ((100, gang), (101, tasks)):
-        add_job(context.board, number, 0, (step,), organisation="post", now=5.0)
-    context.plan = plan_at(context.board, 5.0)
+        add_job(context.fleet_state, number, 0, (step,), organisation="post", now=5.0)
+    context.plan = plan_at(context.fleet_state, 5.0)
 
 
 @then("what is stopped makes room for something that starts")
 def step_room_made(context: Any) -> None:
     stopped = len(context.plan.stops)
-    end_stopping(context.board)
-    started = len(context.plan.starts) + len(plan_at(context.board, 5.0).starts)
+    end_stopping(context.fleet_state)
+    started = len(context.plan.starts) + len(plan_at(context.fleet_state, 5.0).starts)
     assert started >= stopped, (started, stopped)
 
 
@@ -454,30 +469,30 @@
 
 @given("a checkpointed task of 8 s runs on worker 0, and one without checkpoints")
 def step_two_tasks(context: Any) -> None:
-    board = context.board
+    fleet_state = context.fleet_state
     for number, checkpoints in enumerate((True, False)):
         step = Step(1, Need(100, 100, 1), 8.0, checkpoints=checkpoints)
-        add_job(board, number, 1, (step,))
-        unit = next(iter(board.jobs[f"{number:016x}"].units.values()))
-        board.order(unit, ["w0"], 0.0)
-        board.note_up(unit.members[0], 0.01)
+        add_job(fleet_state, number, 1, (step,))
+        unit = next(iter(fleet_state.jobs[f"{number:016x}"].units.values()))
+        fleet_state.order(unit, ["w0"], 0.0)
+        fleet_state.note_up(unit.members[0], 0.01)
 
 
 @when("worker 0 announces that it leaves in {seconds:g} s")
 def step_leaving(context: Any, seconds: float) -> None:
-    worker = context.board.workers["w0"]
+    worker = context.fleet_state.workers["w0"]
     worker.entry = replace(worker.entry, leaving=True)
     worker.leaves_at = 2.0 + seconds
 
 
 @then("nothing is moved off it at once")
 def step_not_yet(context: Any) -> None:
-    assert not find_evacuations(context.board, context.durations, 2.0)
+    assert not find_evacuations(context.fleet_state, context.durations, 2.0)
 
 
 @then("after {seconds:g} s only the checkpointed task is")
 def step_taken_off(context: Any, seconds: float) -> None:
-    units = find_evacuations(context.board, context.durations, 2.0 + seconds)
+    units = find_evacuations(context.fleet_state, context.durations, 2.0 + seconds)
     assert [unit.step.checkpoints for unit in units] == [True], units
 
 
@@ -500,40 +515,40 @@
     context: Any, priority: int, count: int, each: int, seconds: float
 ) -> None:
     step = Step(count, Need(100, 100, each), seconds, gang=True)
-    add_job(context.board, 1, priority, (step,))
-    apply_plan(context.board, plan_at(context.board, 0.0), 0.0)
-    context.unit = next(iter(context.board.jobs[f"{1:016x}"].units.values()))
+    add_job(context.fleet_state, 1, priority, (step,))
+    apply_plan(context.fleet_state, plan_at(context.fleet_state, 0.0), 0.0)
+    context.unit = next(iter(context.fleet_state.jobs[f"{1:016x}"].units.values()))
     assert context.unit.members, "the gang doesn't run"
 
 
 @given("it was restarted elsewhere twice")
 def step_moved(context: Any) -> None:
-    context.unit.rescues = 2
+    context.unit.stall_restarts = 2
 
 
 @when("its members show {first:g} and {second:g} percent after {seconds:g} s")
 def step_progress(context: Any, first: float, second: float, seconds: float) -> None:
     pairs = zip(context.unit.members, (first, second), strict=True)
     for member, percent in pairs:
-        context.board.note_up(member, 0.0)
+        context.fleet_state.note_up(member, 0.0)
         member.heard_at = seconds
         if percent:
             member.percent = percent
-            member.moved_at = seconds
+            member.progressed_at = seconds
     context.held = {member.worker for member in context.unit.members}
-    context.plan = plan_at(context.board, seconds)
+    context.plan = plan_at(context.fleet_state, seconds)
 
 
 @then("the gang is restarted elsewhere")
 def step_elsewhere(context: Any) -> None:
-    (restart,) = context.plan.rescues
+    (restart,) = context.plan.stall_restarts
     assert restart.unit is context.unit
-    end_stopping(context.board)
-    (start,) = plan_at(context.board, 2.4).starts
+    end_stopping(context.fleet_state)
+    (start,) = plan_at(context.fleet_state, 2.4).starts
     assert start.unit is context.unit
 
 
 @then("the gang is not restarted")
 def step_left_alone(context: Any) -> None:
-    assert not context.plan.rescues
+    assert not context.plan.stall_restarts
     assert not context.unit.abandoned
--- a/features/steps/work_freeing_steps.py
+++ b/features/steps/work_freeing_steps.py
@@ -7,7 +7,7 @@
 from work_decisions_steps import add_job
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.plan import Stop, make_plan
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Proof, Unit
@@ -19,20 +19,20 @@
 GANG = 20
 
 
-def find_units(board: Board, number: int) -> list[Unit]:
-    return list(board.jobs[f"{number:016x}"].units.values())
+def find_units(fleet_state: FleetState, number: int) -> list[Unit]:
+    return list(fleet_state.jobs[f"{number:016x}"].units.values())
 
 
 def plan(context: Any, later: float) -> None:
-    context.plan = make_plan(context.board, Durations(), Speeds(), NOW + later)
+    context.plan = make_plan(context.fleet_state, Durations(), Speeds(), NOW + later)
 
 
 def run_tasks(context: Any, number: int, worker: str, count: int, need: Need) -> None:
     step = Step(count, need, 20.0, checkpoints=True)
-    add_job(context.board, number, 2, (step,), now=BEGAN)
-    for unit in find_units(context.board, number):
-        context.board.order(unit, [worker], BEGAN)
-        context.board.note_up(unit.members[0], BEGAN)
+    add_job(context.fleet_state, number, 2, (step,), now=BEGAN)
+    for unit in find_units(context.fleet_state, number):
+        context.fleet_state.order(unit, [worker], BEGAN)
+        context.fleet_state.note_up(unit.members[0], BEGAN)
 
 
 @given(
@@ -47,7 +47,7 @@
 @when("an urgent gang of {accelerators:d} accelerators in one task waits")
 def step_gang(context: Any, accelerators: int) -> None:
     step = Step(1, Need(100, 100, accelerators), 2.0, gang=True)
-    add_job(context.board, GANG, 0, (step,), now=NOW)
+    add_job(context.fleet_state, GANG, 0, (step,), now=NOW)
     plan(context, 0.0)
 
 
@@ -60,29 +60,29 @@
 
 @given("{count:d} accelerators are guaranteed to post alone")
 def step_guarantee(context: Any, count: int) -> None:
-    policy = context.board.policy
-    context.board.policy = replace(policy, guarantees={"post": count})
+    policy = context.fleet_state.policy
+    context.fleet_state.policy = replace(policy, guarantees={"post": count})
 
 
 @when("{count:d} of the stopped tasks has ended")
 @when("{count:d} of the stopped tasks have ended")
 def step_end(context: Any, count: int) -> None:
     for unit in context.stopped[:count]:
-        context.board.note_gone(unit.members[0], Proof.ENDED)
+        context.fleet_state.note_gone(unit.members[0], Proof.ENDED)
         # Its job must not wait again.
-        context.board.finish(unit.job, JobState.CANCELLED)
+        context.fleet_state.finish(unit.job, JobState.CANCELLED)
 
 
 @when("{count:d} tasks on worker 1 have ended")
 def step_end_others(context: Any, count: int) -> None:
-    for unit in find_units(context.board, 11)[:count]:
-        context.board.note_end(unit.members[0].task, unit.run, EndKind.DONE, "")
+    for unit in find_units(context.fleet_state, 11)[:count]:
+        context.fleet_state.note_end(unit.members[0].task, unit.run, EndKind.DONE, "")
 
 
 def add_task(context: Any, organisation: str, later: float) -> None:
     step = Step(1, Need(100, 100, 1), 0.1)
     fields = {"now": NOW + later, "organisation": organisation}
-    add_job(context.board, 30, 0, (step,), **fields)
+    add_job(context.fleet_state, 30, 0, (step,), **fields)
     plan(context, later)
 
 
@@ -98,7 +98,7 @@
 
 
 def find_start(context: Any, number: int) -> list[str]:
-    units = find_units(context.board, number)
+    units = find_units(context.fleet_state, number)
     return [
         worker.name
         for start in context.plan.starts
@@ -128,7 +128,7 @@
 
 
 def list_stopped_for(context: Any, number: int) -> list[Stop]:
-    gainers = find_units(context.board, number)
+    gainers = find_units(context.fleet_state, number)
     return [stop for stop in context.plan.stops if stop.gainer in gainers]
 
 
@@ -155,7 +155,9 @@
 
 @when("the gang is cancelled")
 def step_cancel(context: Any) -> None:
-    context.board.finish(find_units(context.board, GANG)[0].job, JobState.CANCELLED)
+    context.fleet_state.finish(
+        find_units(context.fleet_state, GANG)[0].job, JobState.CANCELLED
+    )
 
 
 @when("all of the stopped tasks have ended, and others run in their place")
@@ -168,14 +170,14 @@
 @when("an urgent step of {count:d} tasks of one accelerator waits {later:g} s later")
 def step_urgent_step(context: Any, count: int, later: float) -> None:
     step = Step(count, Need(100, 100, 1), 0.1)
-    add_job(context.board, 30, 0, (step,), now=NOW + later)
+    add_job(context.fleet_state, 30, 0, (step,), now=NOW + later)
     plan(context, later)
 
 
 @then("one other task is stopped for each of its tasks")
 def step_each_freed(context: Any) -> None:
     gainers = [stop.gainer for stop in context.plan.stops]
-    units = find_units(context.board, 30)
+    units = find_units(context.fleet_state, 30)
     assert sorted(map(id, gainers)) == sorted(map(id, units)), len(gainers)
 
 
--- a/features/steps/work_heavy_steps.py
+++ b/features/steps/work_heavy_steps.py
@@ -31,28 +31,28 @@
 
 def plan(context: Any) -> None:
     durations = getattr(context, "durations", Durations())
-    context.plan = make_plan(context.board, durations, Speeds(), NOW)
+    context.plan = make_plan(context.fleet_state, durations, Speeds(), NOW)
 
 
 @given(
     "a fleet state with {racks:d} racks of {count:d} workers of {each:d} accelerators"
 )
 def step_racks(context: Any, racks: int, count: int, each: int) -> None:
-    context.board = make_fleet_state()
+    context.fleet_state = make_fleet_state()
     for number in range(racks * count):
-        add_worker(context.board, number, each, rack=f"r{number % racks}")
+        add_worker(context.fleet_state, number, each, rack=f"r{number % racks}")
 
 
 @given("{count:d} low-priority tasks without checkpoints have run for {seconds:g} s")
 def step_low_priority(context: Any, count: int, seconds: float) -> None:
     began = NOW - seconds
     step = Step(count, Need(100, 100, 1), estimate_seconds=10.0)
-    add_job(context.board, 1, 2, (step,), now=began)
-    started = make_plan(context.board, Durations(), Speeds(), began).starts
+    add_job(context.fleet_state, 1, 2, (step,), now=began)
+    started = make_plan(context.fleet_state, Durations(), Speeds(), began).starts
     assert len(started) == count
     for each in started:
-        context.board.order(each.unit, [each.workers[0].name], began)
-        context.board.note_up(each.unit.members[0], began)
+        context.fleet_state.order(each.unit, [each.workers[0].name], began)
+        context.fleet_state.note_up(each.unit.members[0], began)
 
 
 @given("{count:d} low-priority tasks {saving} checkpoints run under an earlier owner")
@@ -61,15 +61,15 @@
     saves = saving == "with"
     step = Step(count, need, estimate_seconds=10.0, checkpoints=saves)
     submission = Submission(f"{1:016x}", "q2", "domes", POOL, "", (step,))
-    (worker,) = context.board.workers
+    (worker,) = context.fleet_state.workers
     units = tuple(
         UnitRecord(0, 0, index, Phase.ORDERED, run=1, workers=(worker,))
         for index in range(count)
     )
     progress = Progress(JobState.RUNNING, units)
-    job = context.board.admit(submission, progress, NOW, 0.0)
+    job = context.fleet_state.admit(submission, progress, NOW, 0.0)
     for unit in job.units.values():
-        context.board.note_up(unit.members[0], NOW)
+        context.fleet_state.note_up(unit.members[0], NOW)
 
 
 @when("an urgent task of one accelerator waits")
@@ -84,7 +84,7 @@
 
 def wait_urgent(context: Any, seconds: float) -> None:
     step = Step(1, Need(100, 100, 1), estimate_seconds=seconds)
-    add_job(context.board, 2, 0, (step,), now=NOW)
+    add_job(context.fleet_state, 2, 0, (step,), now=NOW)
     plan(context)
 
 
@@ -105,14 +105,14 @@
 def step_taken(context: Any, count: int) -> None:
     step = Step(1, Need(100, 100, count), estimate_seconds=60.0)
     racks = set()
-    for number, worker in enumerate(list(context.board.workers.values())):
+    for number, worker in enumerate(list(context.fleet_state.workers.values())):
         if worker.entry.rack not in racks:
             racks.add(worker.entry.rack)
             continue
-        add_job(context.board, number, 0, (step,), now=NOW - 50)
-        unit = next(iter(context.board.jobs[f"{number:016x}"].units.values()))
-        context.board.order(unit, [worker.name], NOW - 50)
-        context.board.note_up(unit.members[0], NOW - 50)
+        add_job(context.fleet_state, number, 0, (step,), now=NOW - 50)
+        unit = next(iter(context.fleet_state.jobs[f"{number:016x}"].units.values()))
+        context.fleet_state.order(unit, [worker.name], NOW - 50)
+        context.fleet_state.note_up(unit.members[0], NOW - 50)
 
 
 @when(
@@ -127,8 +127,8 @@
         gang=True,
         one_rack=True,
     )
-    add_job(context.board, 7, 1, (step,), now=NOW - seconds)
-    for unit in context.board.jobs[f"{7:016x}"].units.values():
+    add_job(context.fleet_state, 7, 1, (step,), now=NOW - seconds)
+    for unit in context.fleet_state.jobs[f"{7:016x}"].units.values():
         unit.ready_at = NOW - seconds
     plan(context)
 
@@ -180,7 +180,7 @@
 @when("an urgent gang of {count:d} tasks of {each:d} accelerators waits")
 def step_gang_waits(context: Any, count: int, each: int) -> None:
     step = Step(count, Need(100, 100, each), estimate_seconds=4.0, gang=True)
-    add_job(context.board, 2, 0, (step,), now=NOW)
+    add_job(context.fleet_state, 2, 0, (step,), now=NOW)
     plan(context)
 
 
--- a/features/steps/work_reading_steps.py
+++ b/features/steps/work_reading_steps.py
@@ -352,7 +352,7 @@
     async def look() -> None:
         owner = context.world.find_owner()
         assert owner is not None and owner.scheduler is not None
-        assert not owner.scheduler.board.jobs, owner.scheduler.board.jobs
+        assert not owner.scheduler.fleet_state.jobs, owner.scheduler.fleet_state.jobs
 
     context.world.run(look())
 
--- a/features/steps/work_slow_owner_steps.py
+++ b/features/steps/work_slow_owner_steps.py
@@ -10,12 +10,12 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.keys import GIVEN_UP_KEY, WISHES_PREFIX
-from primrosestile.decisions.work.election_delay import find_stand_back
+from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.decisions.work.owner_health import (
-    Fitness,
+    OwnerHealth,
     OwnerMetrics,
-    find_pause,
-    find_serving,
+    find_candidacy_pause,
+    find_minimum_term_seconds,
 )
 from primrosestile.state.work import JobState
 
@@ -303,7 +303,7 @@
 @then("VMs stand for the ownership after these seconds")
 def step_stand(context: Any) -> None:
     for row in context.table:
-        seconds = find_stand_back(float(row["processor"]), float(row["link"]))
+        seconds = find_election_delay(float(row["processor"]), float(row["link"]))
         low, high = float(row["from"]), float(row["to"])
         assert low <= seconds <= high, (row.cells, seconds)
 
@@ -324,7 +324,7 @@
 @given("an owner whose work is sound")
 def step_sound(context: Any) -> None:
     context.work = SOUND
-    context.fitness = Fitness()
+    context.fitness = OwnerHealth()
     context.fitness.given_up = 0
 
 
@@ -358,10 +358,10 @@
 @then("it may give up after {seconds:g} s, and stands last for {pause:g} s afterwards")
 def step_serving(context: Any, seconds: float, pause: float) -> None:
     fitness = context.fitness
-    assert find_serving(fitness.given_up) == seconds
+    assert find_minimum_term_seconds(fitness.given_up) == seconds
     for served, expected in ((seconds - 0.1, False), (seconds + 0.1, True)):
         work = replace(context.work, served=served)
         judged = [fitness.judge(work, number * 0.5) for number in range(4)]
         assert any(judged) is expected, (served, judged)
     times = 1000 if fitness.given_up is None else fitness.given_up + 1
-    assert find_pause(times) == pause
+    assert find_candidacy_pause(times) == pause
--- a/src/primrosestile/coordination/work/advising.py
+++ b/src/primrosestile/coordination/work/advising.py
@@ -14,7 +14,7 @@
     note_answer,
 )
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.errors import Failure
 from primrosestile.protocol.advice import AdviceCalls
 
@@ -32,13 +32,13 @@
     def __init__(
         self,
         calls: AdviceCalls,
-        board: Board,
+        fleet_state: FleetState,
         durations: Durations,
         term: Term,
         wake: Callable[[], None],
     ) -> None:
         self._calls = calls
-        self._board = board
+        self._board = fleet_state
         self._durations = durations
         self._term = term
         self._wake = wake
--- a/src/primrosestile/coordination/work/election.py
+++ b/src/primrosestile/coordination/work/election.py
@@ -19,7 +19,10 @@
     find_lease_end,
     read_suspending_clock,
 )
-from primrosestile.decisions.work.owner_health import SOUND_SECONDS, find_pause
+from primrosestile.decisions.work.owner_health import (
+    SOUND_SECONDS,
+    find_candidacy_pause,
+)
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import (
@@ -165,7 +168,7 @@
             return
         self.given_up += 1
         self._resignations_in_row += 1
-        pause = find_pause(self._resignations_in_row)
+        pause = find_candidacy_pause(self._resignations_in_row)
         self._paused_until = now + pause
         _log.info("ownership_pause", seconds=pause, given_up=self.given_up)
 
--- a/src/primrosestile/coordination/work/intake.py
+++ b/src/primrosestile/coordination/work/intake.py
@@ -31,7 +31,7 @@
 )
 from primrosestile.coordination.work.reading import Reader
 from primrosestile.coordination.work.recording import Recorder
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Change, Entry
 from primrosestile.protocol.transactions import TransactionalStore, list_entries
@@ -74,14 +74,14 @@
     def __init__(
         self,
         store: TransactionalStore,
-        board: Board,
+        fleet_state: FleetState,
         recorder: Recorder,
         ended: EndedJobs,
         wake: Callable[[], None],
     ) -> None:
         self._store = store
         self._reader = Reader(store)
-        self._board = board
+        self._board = fleet_state
         self._recorder = recorder
         self._ended = ended
         self._wake = wake
--- a/src/primrosestile/coordination/work/links.py
+++ b/src/primrosestile/coordination/work/links.py
@@ -24,7 +24,7 @@
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
 from primrosestile.coordination.work.workerclock import Reading, WorkerClock
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Member, MemberState, Proof, Worker
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.fleet import (
@@ -64,7 +64,7 @@
         worker: Worker,
         calls: WorkerCalls,
         term: Term,
-        board: Board,
+        fleet_state: FleetState,
         recorder: Recorder,
         wake: Callable[[], None],
         note_end: Callable[[Member, EndKind], None],
@@ -74,7 +74,7 @@
         self.clock = WorkerClock(worker.name, max_lease_seconds)
         self._calls = calls
         self._term = term
-        self._board = board
+        self._board = fleet_state
         self._recorder = recorder
         self._wake = wake
         self._note_end = note_end
@@ -204,7 +204,7 @@
         )
         self.clock.note(Reading(answer.clock, sent_at, self._answered_at))
         if entry.address == self.entry.address:
-            self.worker.proven = True
+            self.worker.verified = True
         await self._process_poll(answer, sent_at)
 
     async def _process_refusal(self, refusal: Refusal, address: str) -> None:
@@ -227,7 +227,7 @@
         and at the longest for the end of any lease that an owner can have extended.
         """
         worker = self.worker
-        asked_there = worker.proven and address == worker.entry.address
+        asked_there = worker.verified and address == worker.entry.address
         if worker.members and not asked_there:
             _log.info("worker_life_doubted", worker=worker.name, address=address)
             await asyncio.sleep(OTHER_INCARNATION_PAUSE_SECONDS)
@@ -297,7 +297,7 @@
             member.heard_at = now
             if row.percent > member.percent:
                 member.percent = row.percent
-                member.moved_at = now
+                member.progressed_at = now
             if row.usage is not None:
                 member.usage = row.usage
             if row.checkpoint and row.checkpoint != member.unit.checkpoint:
--- a/src/primrosestile/coordination/work/orders.py
+++ b/src/primrosestile/coordination/work/orders.py
@@ -17,7 +17,7 @@
 from primrosestile.coordination.work.logfields import name_member, name_unit
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.paces import Pace
 from primrosestile.decisions.work.plan import Assignment
 from primrosestile.decisions.work.units import (
@@ -56,7 +56,7 @@
         self,
         calls: WorkerCalls,
         term: Term,
-        board: Board,
+        fleet_state: FleetState,
         recorder: Recorder,
         links: dict[str, WorkerLink],
         tasks: asyncio.TaskGroup,
@@ -65,7 +65,7 @@
     ) -> None:
         self._calls = calls
         self._term = term
-        self._board = board
+        self._board = fleet_state
         self._recorder = recorder
         self._links = links
         self._tasks = tasks
--- a/src/primrosestile/coordination/work/ownwatch.py
+++ b/src/primrosestile/coordination/work/ownwatch.py
@@ -17,11 +17,11 @@
 from primrosestile.coordination.work.metering import MeteredCalls
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.owner_health import (
     MOST_SERVE_STEPS,
     WORKER_SECONDS,
-    Fitness,
+    OwnerHealth,
     OwnerMetrics,
     OwnerProblem,
 )
@@ -57,7 +57,7 @@
         self,
         store: TransactionalStore,
         term: Term,
-        board: Board,
+        fleet_state: FleetState,
         requests: RequestWatch,
         recorder: Recorder,
         links: Mapping[str, WorkerLink],
@@ -65,12 +65,12 @@
     ) -> None:
         self._store = store
         self._term = term
-        self._board = board
+        self._board = fleet_state
         self._requests = requests
         self._recorder = recorder
         self._links = links
         self._calls = calls
-        self._fitness = Fitness()
+        self._fitness = OwnerHealth()
         self._began = read_clock()
         self._store_failed_at = self._began
         self._delays: deque[float] = deque(maxlen=DELAY_SAMPLES)
--- a/src/primrosestile/coordination/work/passlog.py
+++ b/src/primrosestile/coordination/work/passlog.py
@@ -13,7 +13,7 @@
 )
 from primrosestile.decisions.work.crashes import Crash
 from primrosestile.decisions.work.plan import Stop
-from primrosestile.decisions.work.stall_restarts import Rescue
+from primrosestile.decisions.work.stall_restarts import StallRestart
 from primrosestile.decisions.work.units import Member, Proof, Worker
 
 _log = structlog.get_logger()
@@ -89,7 +89,7 @@
     )
 
 
-def log_rescue(rescue: Rescue) -> None:
+def log_rescue(rescue: StallRestart) -> None:
     """Log which run is stopped because a member is stalled, and on which worker."""
     unit = rescue.unit
     _log.info(
--- a/src/primrosestile/coordination/work/recording.py
+++ b/src/primrosestile/coordination/work/recording.py
@@ -35,7 +35,7 @@
     make_waiting_key,
 )
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Job
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Entry
@@ -95,11 +95,15 @@
     """Writes the records of changed jobs, one round after another."""
 
     def __init__(
-        self, store: TransactionalStore, term: Term, board: Board, ended: EndedJobs
+        self,
+        store: TransactionalStore,
+        term: Term,
+        fleet_state: FleetState,
+        ended: EndedJobs,
     ) -> None:
         self._store = store
         self._term = term
-        self._board = board
+        self._board = fleet_state
         self._ended = ended
         # The revisions of the jobs, and of their progress where there is any.
         self._jobs: dict[str, int] = {}
--- a/src/primrosestile/coordination/work/roster.py
+++ b/src/primrosestile/coordination/work/roster.py
@@ -13,7 +13,7 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.errors import Failure
 from primrosestile.protocol.fleet import WorkerList
 from primrosestile.state.workers import WorkerEntry
@@ -36,12 +36,12 @@
     def __init__(
         self,
         workers: WorkerList,
-        board: Board,
+        fleet_state: FleetState,
         add_new: Callable[[WorkerEntry], None],
         wake: Callable[[], None],
     ) -> None:
         self._workers = workers
-        self._board = board
+        self._board = fleet_state
         self._add_new = add_new
         self._wake = wake
         self._read_at = -STALE_SECONDS
@@ -107,7 +107,7 @@
         some other worker, and this one would lose its lease and all its runs. Such an
         entry is ignored, so the worker counts as unlisted until its entry is correct.
         """
-        known = self._board.find_proven(entry.worker)
+        known = self._board.find_verified_address(entry.worker)
         if known is None:
             return True
         if entry.address == known:
--- a/src/primrosestile/coordination/work/scheduling.py
+++ b/src/primrosestile/coordination/work/scheduling.py
@@ -40,12 +40,15 @@
 )
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.evacuation import find_evacuations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.paces import find_paces
 from primrosestile.decisions.work.plan import make_plan
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Job, Member, Proof, Worker
-from primrosestile.decisions.work.worker_quarantine import AT_ONCE_SECONDS, Trust
+from primrosestile.decisions.work.worker_quarantine import (
+    AT_ONCE_SECONDS,
+    WorkerQuarantine,
+)
 from primrosestile.errors import Failure
 from primrosestile.protocol.advice import AdviceCalls
 from primrosestile.protocol.fleet import WorkerCalls, WorkerList
@@ -96,8 +99,8 @@
         self._max_lease_seconds = lease_longest
         policy = policies.policy
         assert policy is not None, "a term begins after the first policy is read"
-        self._board = Board(policy, read_wall_clock())
-        self._trust = Trust()
+        self._board = FleetState(policy, read_wall_clock())
+        self._trust = WorkerQuarantine()
         self._durations = Durations()
         self._speeds = Speeds()
         self._statistics = StatisticsStore(store, term, self._durations, self._speeds)
@@ -131,7 +134,7 @@
         self._pass_seconds = 0.0
 
     @property
-    def board(self) -> Board:
+    def fleet_state(self) -> FleetState:
         """The fleet state that this owner knows."""
         return self._board
 
@@ -197,7 +200,7 @@
 
     def _add_unlisted(self) -> None:
         """Add workers that only records name: they are polled but get no work."""
-        for entry in self._board.list_astray():
+        for entry in self._board.list_unlisted_workers():
             self._add_worker(entry)
             self._board.workers[entry.worker].listed = False
 
@@ -313,7 +316,7 @@
             plan = make_plan(self._board, self._durations, self._speeds, read_clock())
             for stop in plan.stops:
                 log_stop(stop)
-            for rescue in plan.rescues:
+            for rescue in plan.stall_restarts:
                 log_rescue(rescue)
                 self._quarantine_worker(rescue.worker, now)
             orders.start(plan.starts)
@@ -334,7 +337,7 @@
 
     def _quarantine_worker(self, worker: Worker, now: float) -> None:
         """Quarantine a worker on which a task is stalled."""
-        until = self._trust.note_still(worker.name, now, len(self._board.workers))
+        until = self._trust.note_stalled(worker.name, now, len(self._board.workers))
         worker.quarantined_until = max(worker.quarantined_until, until)
 
     def _open_due(self) -> None:
@@ -356,7 +359,7 @@
         """Mark runs as gone on workers that have never answered this owner."""
         if read_clock() - self._began < NEVER_ANSWERED_SECONDS:
             return
-        for name in list(self._board.astray):
+        for name in list(self._board.unlisted_members):
             _log.warning("runs_given_up", worker=name)
             self._board.drop_worker(name, Proof.UNHEARD)
         for name, link in self._links.items():
--- a/src/primrosestile/coordination/work/upkeep.py
+++ b/src/primrosestile/coordination/work/upkeep.py
@@ -21,8 +21,8 @@
 from primrosestile.coordination.work.term import Term
 from primrosestile.coordination.work.vmlist import VmList
 from primrosestile.coordination.work.waverecords import RecordUnreadable, WaveRecords
-from primrosestile.decisions.work.fleet_state import Board
-from primrosestile.decisions.work.maintenance import may_go, plan_upkeep
+from primrosestile.decisions.work.fleet_state import FleetState
+from primrosestile.decisions.work.maintenance import may_go, plan_maintenance
 from primrosestile.decisions.work.units import Proof
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import TransactionalStore
@@ -58,12 +58,12 @@
         calls: UpkeepCalls,
         store: TransactionalStore,
         term: Term,
-        board: Board,
+        fleet_state: FleetState,
         wake: Callable[[], None],
     ) -> None:
         self._calls = calls
         self._term = term
-        self._board = board
+        self._board = fleet_state
         self._wake = wake
         self._began = read_clock()
         self._records = WaveRecords(store, term)
@@ -169,7 +169,7 @@
             return frozenset()
         await self._repeat_orders(wave, record, vms)
         away = set(record.begun) - set(record.over)
-        plan = plan_upkeep(
+        plan = plan_maintenance(
             self._board,
             wave,
             vms,
--- a/src/primrosestile/coordination/work/waitingkeys.py
+++ b/src/primrosestile/coordination/work/waitingkeys.py
@@ -16,7 +16,7 @@
     make_waiting_key,
 )
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Job
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import (
@@ -30,17 +30,17 @@
 
 
 async def reconcile_waiting_keys(
-    store: TransactionalStore, term: Term, board: Board
+    store: TransactionalStore, term: Term, fleet_state: FleetState
 ) -> None:
     """Write missing keys and remove obsolete ones."""
     try:
         entries, _ = await list_entries(store, WAITING_PREFIX)
         standing = {entry.key.removeprefix(WAITING_PREFIX) for entry in entries}
-        for job in list(board.jobs.values()):
+        for job in list(fleet_state.jobs.values()):
             if job.state is JobState.QUEUED and job.job_id not in standing:
                 await _add(store, term, job)
         for job_id in standing:
-            await _remove_left_over(store, term, board, job_id)
+            await _remove_left_over(store, term, fleet_state, job_id)
     except Failure as failure:
         # Only a count stays wrong, and the next owner tries again.
         _log.warning("waiting_keys_not_settled", reason=str(failure))
@@ -62,11 +62,11 @@
 
 
 async def _remove_left_over(
-    store: TransactionalStore, term: Term, board: Board, job_id: str
+    store: TransactionalStore, term: Term, fleet_state: FleetState, job_id: str
 ) -> None:
     """Remove the key of a job that has started or doesn't exist any more."""
     conditions = [Condition(OWNER_KEY, term.fence)]
-    job = board.jobs.get(job_id)
+    job = fleet_state.jobs.get(job_id)
     if job is None:
         # A job that was accepted just now may not be in the fleet state yet.
         conditions.append(Condition(make_job_key(job_id), 0))
--- a/src/primrosestile/decisions/work/advice.py
+++ b/src/primrosestile/decisions/work/advice.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.placement import (
     Rooms,
     count_allowed,
@@ -47,15 +47,19 @@
     seconds: float
 
 
-def choose_question(board: Board, durations: Durations, now: float) -> Question | None:
+def choose_question(
+    fleet_state: FleetState, durations: Durations, now: float
+) -> Question | None:
     """Return a question about the most urgent step that needs one, or None."""
     waiting = [
-        unit for unit in board.list_waiting(now) if unit.job.queue.advised is not None
+        unit
+        for unit in fleet_state.list_waiting(now)
+        if unit.job.queue.advised is not None
     ]
     if not waiting:
         return None
-    ranked = rank_units(waiting, now, find_entitled(board), durations)
-    rooms = make_rooms(board, now)
+    ranked = rank_units(waiting, now, find_entitled(fleet_state), durations)
+    rooms = make_rooms(fleet_state, now)
     tasks: Counter[tuple[str, int, int]] = Counter()
     steps: dict[tuple[str, int, int], Unit] = {}
     for _, unit in ranked:
--- a/src/primrosestile/decisions/work/election_delay.py
+++ b/src/primrosestile/decisions/work/election_delay.py
@@ -24,7 +24,7 @@
 LONGEST_WAIT_SECONDS = 0.5
 
 
-def find_stand_back(processor: float, link: float) -> float:
+def find_election_delay(processor: float, link: float) -> float:
     """Return how many seconds a VM waits before it runs for a vacant ownership.
 
     Args:
--- a/src/primrosestile/decisions/work/evacuation.py
+++ b/src/primrosestile/decisions/work/evacuation.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 
 # How long before the worker may be gone its work is stopped: the order needs time to
@@ -18,10 +18,12 @@
 EVACUATE_SECONDS = 1.0
 
 
-def find_evacuations(board: Board, durations: Durations, now: float) -> list[Unit]:
+def find_evacuations(
+    fleet_state: FleetState, durations: Durations, now: float
+) -> list[Unit]:
     """Return the units to stop now, so that they resume from a checkpoint."""
     found: dict[int, Unit] = {}
-    for worker in board.workers.values():
+    for worker in fleet_state.workers.values():
         if worker.entry.leaving and worker.leaves_at - now < EVACUATE_SECONDS:
             for member in _list_worth_saving(worker, durations, now):
                 found[id(member.unit)] = member.unit
--- a/src/primrosestile/decisions/work/fleet_state.py
+++ b/src/primrosestile/decisions/work/fleet_state.py
@@ -39,7 +39,7 @@
     return Queue("", "", "", "", 2, attempts, 3.0, 3.0, 3.0)
 
 
-class Board:
+class FleetState:
     """The fleet's state; events change it, decisions read it.
 
     Attributes:
@@ -64,10 +64,10 @@
         self._ended: dict[str, str] = {}
         # Addresses at which workers have answered an earlier owner, by name, from the
         # records. An owner only starts runs on workers that have answered it.
-        self.proven: dict[str, str] = {}
+        self.verified: dict[str, str] = {}
         # Members on workers without an entry, by worker; only time shows that they are
         # gone, unless the worker has a verified address to ask.
-        self.astray: dict[str, list[Member]] = {}
+        self.unlisted_members: dict[str, list[Member]] = {}
 
     def take_policy(self, policy: Policy) -> None:
         """Apply a newer version; a job whose queue was removed keeps its settings."""
@@ -90,7 +90,7 @@
         opened = max((each.occurrence + 1 for each in progress.units), default=0)
         for occurrence in range(opened):
             self.open_occurrence(job, occurrence)
-        self.proven.update(progress.addresses)
+        self.verified.update(progress.addresses)
         for record in progress.units:
             self._restore(job, record, now)
         return job
@@ -145,36 +145,36 @@
                 name,
                 since=now,
                 resumed=bool(unit.checkpoint and unit.step.checkpoints),
-                moved_at=now,
-                address=self.find_proven(name) or "",
+                progressed_at=now,
+                address=self.find_verified_address(name) or "",
             )
             for position, name in enumerate(workers)
         )
         for member in unit.members:
             worker = self.workers.get(member.worker)
             if worker is None:
-                self.astray.setdefault(member.worker, []).append(member)
+                self.unlisted_members.setdefault(member.worker, []).append(member)
             else:
                 worker.attach(member)
 
     def add_worker(self, entry: WorkerEntry) -> Worker:
         """Add an incarnation of a worker, with the members recorded on it."""
         worker = Worker(entry)
-        worker.proven = self.proven.get(entry.worker) == entry.address
+        worker.verified = self.verified.get(entry.worker) == entry.address
         self.workers[entry.worker] = worker
-        for member in self.astray.pop(entry.worker, ()):
+        for member in self.unlisted_members.pop(entry.worker, ()):
             if member.state is not MemberState.GONE:
                 worker.attach(member)
         return worker
 
-    def find_proven(self, name: str) -> str | None:
+    def find_verified_address(self, name: str) -> str | None:
         """Return where an incarnation has answered this or an earlier owner."""
         worker = self.workers.get(name)
-        if worker is not None and worker.proven:
+        if worker is not None and worker.verified:
             return worker.entry.address
-        return self.proven.get(name)
+        return self.verified.get(name)
 
-    def list_astray(self) -> list[WorkerEntry]:
+    def list_unlisted_workers(self) -> list[WorkerEntry]:
         """Return bare entries for workers that are in records but not in the list.
 
         They take no new work, but can be asked where they have answered before.
@@ -182,14 +182,14 @@
         what ended with its worker would be waited for until that lease is over.
         """
         return [
-            make_bare_entry(name, self.proven[name])
-            for name in self.astray
-            if name in self.proven
+            make_bare_entry(name, self.verified[name])
+            for name in self.unlisted_members
+            if name in self.verified
         ]
 
     def drop_worker(self, name: str, proof: Proof) -> None:
         """Remove a worker whose incarnation or lease has certainly ended."""
-        for member in self.astray.pop(name, []):
+        for member in self.unlisted_members.pop(name, []):
             self.note_gone(member, proof)
         worker = self.workers.pop(name, None)
         if worker is None:
@@ -344,7 +344,7 @@
         if member.state is not MemberState.SENT:
             return
         member.state = MemberState.UP
-        member.up_at = member.moved_at = now
+        member.up_at = member.progressed_at = now
         job = member.unit.job
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
--- a/src/primrosestile/decisions/work/held_room.py
+++ b/src/primrosestile/decisions/work/held_room.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from primrosestile.decisions.work.crashes import is_isolated
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.placement import (
     Room,
     Rooms,
@@ -35,13 +35,13 @@
 LATE_COST_FACTOR = 4.0
 
 
-def note_stopping(board: Board, now: float) -> None:
+def note_stopping(fleet_state: FleetState, now: float) -> None:
     """Record when each run was first to be stopped, and which workers are late."""
-    for member in board.list_stopping():
+    for member in fleet_state.list_stopping():
         if member.stopping_at is None:
             member.stopping_at = now
         elif is_stop_late(member, now):
-            board.workers[member.worker].stop_late_at = now
+            fleet_state.workers[member.worker].stop_late_at = now
 
 
 def begin_stopping(unit: Unit, now: float) -> None:
@@ -63,10 +63,10 @@
     return LATE_COST_FACTOR
 
 
-def add_stopping(board: Board, rooms: Rooms, now: float) -> Rooms:
+def add_stopping(fleet_state: FleetState, rooms: Rooms, now: float) -> Rooms:
     """Return the rooms with the runs counted as gone whose stops aren't late."""
     future_rooms = copy_rooms(rooms)
-    for member in board.list_stopping():
+    for member in fleet_state.list_stopping():
         room = future_rooms.get(member.worker)
         if room is not None and not is_stop_late(member, now):
             room.take(member.unit.step.need, member.unit.step.filling, -1)
--- a/src/primrosestile/decisions/work/maintenance.py
+++ b/src/primrosestile/decisions/work/maintenance.py
@@ -12,7 +12,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.preemption import find_cost
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 from primrosestile.state.upkeep import VmState, Wave, WorkerVm
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpkeepPlan:
+class MaintenancePlan:
     """What to do for a wave now.
 
     Attributes:
@@ -39,8 +39,8 @@
     save: tuple[Unit, ...] = ()
 
 
-def plan_upkeep(
-    fleet_state: Board,
+def plan_maintenance(
+    fleet_state: FleetState,
     wave: Wave,
     vms: dict[str, WorkerVm],
     begun: Collection[str],
@@ -48,7 +48,7 @@
     seconds_left: float,
     now: float,
     leaving: Collection[str] = (),
-) -> UpkeepPlan:
+) -> MaintenancePlan:
     """Decide on a wave.
 
     Args:
@@ -77,7 +77,7 @@
             begin.append(vm)
         else:
             empty.append(worker)
-    return UpkeepPlan(
+    return MaintenancePlan(
         begin=tuple(begin),
         empty=frozenset(worker.name for worker in empty),
         save=_list_saved(empty),
@@ -85,7 +85,7 @@
 
 
 def _choose(
-    fleet_state: Board,
+    fleet_state: FleetState,
     waiting: list[WorkerVm],
     places: int,
     leaving: Collection[str],
@@ -105,7 +105,7 @@
     return chosen
 
 
-def may_go(fleet_state: Board, vm: WorkerVm, taken: Collection[str]) -> bool:
+def may_go(fleet_state: FleetState, vm: WorkerVm, taken: Collection[str]) -> bool:
     """Whether a VM's maintenance respects the away limits of its services.
 
     What runs on a silent worker may be gone, and counts as away. If it counted as
--- a/src/primrosestile/decisions/work/mechanisms.py
+++ b/src/primrosestile/decisions/work/mechanisms.py
@@ -10,13 +10,16 @@
 from typing import Protocol
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.placement import Rooms, find_locality_wait
 from primrosestile.decisions.work.preemption import may_stop
 from primrosestile.decisions.work.queue_order import Rank, RankKey
 from primrosestile.decisions.work.reservations import reserve_room
 from primrosestile.decisions.work.speeds import Speeds, find_slow
-from primrosestile.decisions.work.stall_restarts import Rescue, find_stall_restarts
+from primrosestile.decisions.work.stall_restarts import (
+    StallRestart,
+    find_stall_restarts,
+)
 from primrosestile.decisions.work.units import Unit
 
 
@@ -59,7 +62,9 @@
 class StallFinding(Protocol):
     """Finds the stalled units that should restart elsewhere."""
 
-    def __call__(self, board: Board, durations: Durations, now: float) -> list[Rescue]:
+    def __call__(
+        self, fleet_state: FleetState, durations: Durations, now: float
+    ) -> list[StallRestart]:
         """Return them, each once."""
         ...
 
@@ -68,7 +73,7 @@
     """Finds the workers that urgent work should avoid."""
 
     def __call__(
-        self, board: Board, durations: Durations, speeds: Speeds, now: float
+        self, fleet_state: FleetState, durations: Durations, speeds: Speeds, now: float
     ) -> set[str]:
         """Return their names."""
         ...
@@ -79,10 +84,10 @@
     """The parts of a pass that can be replaced one by one."""
 
     order: Order
-    patience: LocalityWait
-    keeping: RoomReservation
+    locality_wait: LocalityWait
+    reservation: RoomReservation
     permission: Permission
-    rescuing: StallFinding
+    stall_finding: StallFinding
     slow_finding: SlowFinding
 
 
@@ -90,9 +95,9 @@
     """Return the mechanisms that the scheduler uses."""
     return Mechanisms(
         order=Rank.make_key,
-        patience=find_locality_wait,
-        keeping=reserve_room,
+        locality_wait=find_locality_wait,
+        reservation=reserve_room,
         permission=may_stop,
-        rescuing=find_stall_restarts,
+        stall_finding=find_stall_restarts,
         slow_finding=find_slow,
     )
--- a/src/primrosestile/decisions/work/owner_health.py
+++ b/src/primrosestile/decisions/work/owner_health.py
@@ -95,7 +95,7 @@
     served: float
 
 
-def find_trouble(work: OwnerMetrics) -> OwnerProblem | None:
+def find_problem(work: OwnerMetrics) -> OwnerProblem | None:
     """Return what isn't done though the store answers, or None if all is."""
     if min(work.wishes_age, work.store_answers) > WISHES_SECONDS:
         return OwnerProblem.WISHES
@@ -112,7 +112,7 @@
     return None
 
 
-def find_serving(given_up: int | None) -> float:
+def find_minimum_term_seconds(given_up: int | None) -> float:
     """Return the minimum term before an owner may give up, in seconds.
 
     Args:
@@ -123,12 +123,12 @@
     return SERVE_SECONDS * SERVE_FACTOR**steps
 
 
-def find_pause(times: int) -> float:
+def find_candidacy_pause(times: int) -> float:
     """Return for how many seconds a process that gave up runs for election last."""
     return PAUSE_SECONDS * 2.0 ** min(max(times - 1, 0), MOST_PAUSE_DOUBLINGS)
 
 
-class Fitness:
+class OwnerHealth:
     """Judges the owner's work over time.
 
     Attributes:
@@ -142,7 +142,7 @@
 
     def judge(self, work: OwnerMetrics, now: float) -> OwnerProblem | None:
         """Return why the ownership should be given up now, or None."""
-        trouble = find_trouble(work)
+        trouble = find_problem(work)
         if trouble is None:
             self._troubled_since = None
             if self._sound_since is None:
@@ -153,7 +153,7 @@
             self._troubled_since = now
         if now - self._troubled_since < HOLD_SECONDS:
             return None
-        if work.served < find_serving(self.given_up):
+        if work.served < find_minimum_term_seconds(self.given_up):
             return None
         return trouble
 
--- a/src/primrosestile/decisions/work/paces.py
+++ b/src/primrosestile/decisions/work/paces.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import (
     UNKNOWN_PACE,
     Member,
@@ -40,10 +40,10 @@
     percent: int
 
 
-def find_paces(board: Board, now: float) -> list[Pace]:
+def find_paces(fleet_state: FleetState, now: float) -> list[Pace]:
     """Return the paces that are to change."""
     paces = []
-    for worker in board.workers.values():
+    for worker in fleet_state.workers.values():
         fillers = list(_list_fillers(worker))
         if fillers:
             target_share = find_target_share(worker)
--- a/src/primrosestile/decisions/work/placement.py
+++ b/src/primrosestile/decisions/work/placement.py
@@ -18,7 +18,7 @@
     is_isolated,
     is_on_trial,
 )
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Unit, Worker
 from primrosestile.state.work import Need
 
@@ -137,10 +137,10 @@
     return most if most > 0 else 0
 
 
-def make_rooms(board: Board, now: float) -> Rooms:
+def make_rooms(fleet_state: FleetState, now: float) -> Rooms:
     """Return what is free on each worker that may get work."""
     rooms = {}
-    for worker in board.workers.values():
+    for worker in fleet_state.workers.values():
         if worker.may_take(now):
             free = worker.find_room()
             suspects = [each for each in worker.members.values() if each.unit.crashes]
@@ -215,11 +215,11 @@
     return max(0, min(fitting, step.most_per_worker - there))
 
 
-def find_idle_pools(board: Board) -> set[str]:
+def find_idle_pools(fleet_state: FleetState) -> set[str]:
     """Return the pools of whose accelerators less than half are in use."""
     used: Counter[str] = Counter()
     capacity: Counter[str] = Counter()
-    for worker in board.workers.values():
+    for worker in fleet_state.workers.values():
         used[worker.entry.pool] += worker.accelerators
         capacity[worker.entry.pool] += worker.entry.capacity.accelerators
     return {pool for pool in capacity if used[pool] < IDLE_SHARE * capacity[pool]}
--- a/src/primrosestile/decisions/work/plan.py
+++ b/src/primrosestile/decisions/work/plan.py
@@ -5,7 +5,7 @@
 from primrosestile.decisions.work.crashes import is_isolated
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.evictions import Evictions, give_back
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.held_room import (
     Holds,
     add_stopping,
@@ -31,7 +31,7 @@
     count_reservation,
 )
 from primrosestile.decisions.work.speeds import Speeds
-from primrosestile.decisions.work.stall_restarts import Rescue
+from primrosestile.decisions.work.stall_restarts import StallRestart
 from primrosestile.decisions.work.units import Unit, Worker
 
 # An eviction that wastes less than this is made at once: what a small urgent job itself
@@ -76,18 +76,18 @@
 
     starts: tuple[Assignment, ...]
     stops: tuple[Stop, ...]
-    rescues: tuple[Rescue, ...] = ()
+    stall_restarts: tuple[StallRestart, ...] = ()
 
 
 def make_plan(
-    board: Board,
+    fleet_state: FleetState,
     durations: Durations,
     speeds: Speeds,
     now: float,
     mechanisms: Mechanisms = MECHANISMS,
 ) -> Plan:
     """Decide on the waiting units, the most urgent first."""
-    return _Pass(board, durations, speeds, now, mechanisms).run()
+    return _Pass(fleet_state, durations, speeds, now, mechanisms).run()
 
 
 class _Pass:
@@ -100,29 +100,29 @@
 
     def __init__(
         self,
-        board: Board,
+        fleet_state: FleetState,
         durations: Durations,
         speeds: Speeds,
         now: float,
         mechanisms: Mechanisms,
     ) -> None:
-        self.board = board
+        self.fleet_state = fleet_state
         self.durations = durations
         self.now = now
         self.mechanisms = mechanisms
-        self.slow = mechanisms.slow_finding(board, durations, speeds, now)
-        self.entitled = find_entitled(board)
+        self.slow = mechanisms.slow_finding(fleet_state, durations, speeds, now)
+        self.entitled = find_entitled(fleet_state)
         self.evictions = Evictions(self.entitled, now, mechanisms.permission)
-        self.idle_pools = find_idle_pools(board)
-        self.rooms = make_rooms(board, now)
-        self.waiting = board.list_waiting(now)
+        self.idle_pools = find_idle_pools(fleet_state)
+        self.rooms = make_rooms(fleet_state, now)
+        self.waiting = fleet_state.list_waiting(now)
         _mark_reserved(self.waiting, self.rooms)
-        note_stopping(board, now)
-        self.future_rooms = add_stopping(board, self.rooms, now)
+        note_stopping(fleet_state, now)
+        self.future_rooms = add_stopping(fleet_state, self.rooms, now)
         self.holds = Holds((self.rooms, self.future_rooms), now)
         self.starts: list[Assignment] = []
         self.stops: list[Stop] = []
-        self.rescues: list[Rescue] = []
+        self.stall_restarts: list[StallRestart] = []
         self.reserved = 0
         self.blocked: list[Unit] = []
 
@@ -157,7 +157,7 @@
                 break
             if not self._start_beside(rank, unit, held):
                 waiting.add(likeness)
-        return Plan(tuple(self.starts), tuple(self.stops), tuple(self.rescues))
+        return Plan(tuple(self.starts), tuple(self.stops), tuple(self.stall_restarts))
 
     def _restart_stalled(self) -> None:
         """Stop units with a stalled member if they can restart elsewhere at once.
@@ -165,7 +165,9 @@
         Their locality wait starts over: a gang of 1.3 s that went to two racks because
         it had waited long enough took 4.2 s there.
         """
-        for restart in self.mechanisms.rescuing(self.board, self.durations, self.now):
+        for restart in self.mechanisms.stall_finding(
+            self.fleet_state, self.durations, self.now
+        ):
             unit = restart.unit
             elsewhere = copy_rooms(self.future_rooms)
             give_back(unit, elsewhere)
@@ -176,9 +178,9 @@
             if workers is None:
                 unit.ready_at = began
                 continue
-            self.rescues.append(restart)
-            unit.rescues += 1
-            self.board.abandon(unit)
+            self.stall_restarts.append(restart)
+            unit.stall_restarts += 1
+            self.fleet_state.abandon(unit)
             give_back(unit, self.future_rooms)
             take_rooms(unit, workers, self.future_rooms)
             self.rooms.pop(restart.worker.name, None)
@@ -236,8 +238,8 @@
     def _place(self, unit: Unit, rooms: Rooms) -> list[Worker] | None:
         seconds = self.durations.guess_unit(unit)
         idle = unit.pool in self.idle_pools
-        patience = self.mechanisms.patience(unit, seconds, idle)
-        return place(unit, rooms, self.now, seconds, self.slow, patience)
+        locality_wait = self.mechanisms.locality_wait(unit, seconds, idle)
+        return place(unit, rooms, self.now, seconds, self.slow, locality_wait)
 
     def _reserve(self, unit: Unit) -> None:
         """Reserve room for a unit, in what is free and in what is being freed.
@@ -245,7 +247,7 @@
         If it were reserved only in what is free now, work would be stopped for a
         lower-ranked unit, which then could not have the room.
         """
-        if self.mechanisms.keeping(unit, self.rooms, self.durations, self.now):
+        if self.mechanisms.reservation(unit, self.rooms, self.durations, self.now):
             count_reservation(unit, self.future_rooms, self.now)
 
     def _may_evict(self, rank: Rank) -> bool:
@@ -277,7 +279,7 @@
             unit.freed_rounds += 1
             for victim in eviction.units:
                 self.stops.append(Stop(victim, unit, eviction.cost, again))
-                self.board.abandon(victim)
+                self.fleet_state.abandon(victim)
                 begin_stopping(victim, self.now)
                 give_back(victim, self.future_rooms)
             self.evictions.note_stopped(eviction.units)
--- a/src/primrosestile/decisions/work/queue_order.py
+++ b/src/primrosestile/decisions/work/queue_order.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Job, Unit
 
 # Past this many times its objective, a job's result is of no use to its caller.
@@ -116,7 +116,7 @@
     return ranked
 
 
-def find_entitled(board: Board) -> set[str]:
+def find_entitled(fleet_state: FleetState) -> set[str]:
     """Return the urgent jobs that are within their organisations' guarantees.
 
     Counted in the order of acceptance over all jobs that have not ended, running or
@@ -126,13 +126,13 @@
     entitled = set()
     jobs = [
         job
-        for job in board.jobs.values()
+        for job in fleet_state.jobs.values()
         if job.queue.priority == 0 and not job.state.final
     ]
     for job in sorted(jobs, key=lambda job: job.accepted):
         organisation = job.submission.organisation
         need = count_accelerators(job)
-        guarantee = board.policy.guarantees.get(organisation, 0)
+        guarantee = fleet_state.policy.guarantees.get(organisation, 0)
         if used[organisation] + need <= guarantee:
             used[organisation] += need
             entitled.add(job.job_id)
--- a/src/primrosestile/decisions/work/speeds.py
+++ b/src/primrosestile/decisions/work/speeds.py
@@ -13,7 +13,7 @@
 from statistics import median
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Member, Unit
 
 # The weight of a new comparison: tasks of one step differ by 15%, so about the last
@@ -62,7 +62,7 @@
     def _compare_gang(self, unit: Unit) -> None:
         rates = {}
         for member in unit.members:
-            seconds = member.moved_at - member.up_at
+            seconds = member.progressed_at - member.up_at
             if member.up_at and seconds > 0 and member.percent > 0:
                 rates[member.worker] = member.percent / seconds
         if len(rates) < 2:
@@ -109,11 +109,11 @@
 
 
 def find_slow(
-    board: Board, durations: Durations, speeds: Speeds, now: float
+    fleet_state: FleetState, durations: Durations, speeds: Speeds, now: float
 ) -> set[str]:
     """Return the workers that are slow, in general or currently."""
     slow = set()
-    for worker in board.workers.values():
+    for worker in fleet_state.workers.values():
         if speeds.is_slow(worker.name) or any(
             is_behind(member, durations.guess_unit(member.unit), now)
             for member in worker.members.values()
--- a/src/primrosestile/decisions/work/stall_restarts.py
+++ b/src/primrosestile/decisions/work/stall_restarts.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.queue_order import find_objective_seconds
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rescue:
+class StallRestart:
     """A unit to restart elsewhere, and the worker on which it stalled.
 
     Attributes:
@@ -44,11 +44,13 @@
     lost: float
 
 
-def find_stall_restarts(board: Board, durations: Durations, now: float) -> list[Rescue]:
+def find_stall_restarts(
+    fleet_state: FleetState, durations: Durations, now: float
+) -> list[StallRestart]:
     """Return the stalled units that would be late, each once."""
-    found: dict[int, Rescue] = {}
+    found: dict[int, StallRestart] = {}
     best: dict[int, float] = {}
-    for worker in board.workers.values():
+    for worker in fleet_state.workers.values():
         if not worker.acquired:
             continue
         for member in worker.members.values():
@@ -66,7 +68,7 @@
             if lost < max(STALL_SECONDS, RESTART_ELSEWHERE_SECONDS + worked):
                 continue
             if find_slack(unit, worked, durations, now) < lost:
-                found[id(unit)] = Rescue(unit, worker, lost)
+                found[id(unit)] = StallRestart(unit, worker, lost)
     return list(found.values())
 
 
@@ -87,7 +89,7 @@
     step = unit.step
     if step.lasting or step.filling or unit.abandoned:
         return False
-    if unit.rescues >= MAX_STALL_RESTARTS:
+    if unit.stall_restarts >= MAX_STALL_RESTARTS:
         return False
     return member.state is MemberState.UP and member.percent < 100
 
@@ -103,8 +105,8 @@
         member: Of a running unit.
         best: The speed of the fastest member of its gang; 0 if it has no gang.
     """
-    lost = max(0.0, member.heard_at - member.moved_at)
-    worked = max(0.0, member.moved_at - member.up_at)
+    lost = max(0.0, member.heard_at - member.progressed_at)
+    worked = max(0.0, member.progressed_at - member.up_at)
     elapsed = max(0.0, member.heard_at - member.up_at)
     speed = find_speed(member)
     if best <= BEHIND_FACTOR * speed:
--- a/src/primrosestile/decisions/work/units.py
+++ b/src/primrosestile/decisions/work/units.py
@@ -110,7 +110,7 @@
     percent: float = 0.0
     usage: float = 0.0
     up_at: float = 0.0
-    moved_at: float = 0.0
+    progressed_at: float = 0.0
     heard_at: float = 0.0
     address: str = ""
     pace: int = 100
@@ -187,7 +187,7 @@
     failed_on: set[str] = field(default_factory=set)
     crashes: dict[int, CrashCount] = field(default_factory=dict)
     isolating_since: float | None = None
-    rescues: int = 0
+    stall_restarts: int = 0
     reserved_workers: tuple[str, ...] = ()
     reserved_until: float = 0.0
     freed: tuple[str, ...] = ()
@@ -327,7 +327,7 @@
     entry: WorkerEntry
     acquired: bool = False
     listed: bool = True
-    proven: bool = False
+    verified: bool = False
     closed: bool = False
     cordoned: bool = False
     quarantined_until: float = 0.0
--- a/src/primrosestile/decisions/work/worker_quarantine.py
+++ b/src/primrosestile/decisions/work/worker_quarantine.py
@@ -35,7 +35,7 @@
     quarantined_until: float = 0.0
 
 
-class Trust:
+class WorkerQuarantine:
     """The failure history and quarantine of each worker."""
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         history.quarantined_until = now + pause
         return history.quarantined_until
 
-    def note_still(self, worker: str, now: float, workers: int) -> float:
+    def note_stalled(self, worker: str, now: float, workers: int) -> float:
         """Record a stalled task; return until when the worker gets no work.
 
         Args:
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -14,7 +14,7 @@
 from primrosestile.coordination.work.scheduling import Scheduler, run_scheduler
 from primrosestile.coordination.work.submitting import Submitting
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.election_delay import find_stand_back
+from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.platform.advice import PlatformAdvice
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
 from primrosestile.platform.refusals import Fault, Refusals, Source
@@ -82,7 +82,7 @@
             self._store,
             settings.name,
             self._run_term,
-            stand_back=find_stand_back(*self._share),
+            stand_back=find_election_delay(*self._share),
             address=settings.callers_address,
         )
 
@@ -110,7 +110,7 @@
             address=self.settings.callers_address,
             processor=round(self.settings.processor, 2),
             link=self.settings.link,
-            stands_after=round(find_stand_back(*self._share), 2),
+            stands_after=round(find_election_delay(*self._share), 2),
         )
         try:
             await self._serve(told, callers, ready)
--- a/tools/bench/ablation.py
+++ b/tools/bench/ablation.py
@@ -23,7 +23,7 @@
 from primrosestile.decisions.work.queue_order import Rank, RankKey
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Member, Unit
-from primrosestile.decisions.work.worker_quarantine import Trust
+from primrosestile.decisions.work.worker_quarantine import WorkerQuarantine
 from tools.bench.site_days import WORKLOADS, play_day
 from tools.bench.site_driver import Learning
 
@@ -46,7 +46,7 @@
         """Learn nothing."""
 
 
-class NoTrust(Trust):
+class NoTrust(WorkerQuarantine):
     """Leaves no worker out, whatever fails there."""
 
     def note_failed(
@@ -125,13 +125,13 @@
         "order by guarantee": lack(order=order_without_guarantees),
         "order by lateness": lack(order=order_without_lateness),
         "order by slack": lack(order=order_without_slack),
-        "patience for racks": lack(patience=have_no_patience),
-        "kept room": lack(keeping=keep_nothing),
+        "patience for racks": lack(locality_wait=have_no_patience),
+        "kept room": lack(reservation=keep_nothing),
         "stops beyond guarantees": lack(permission=stop_for_guaranteed),
         "stops for usual work": lack(permission=stop_for_urgent),
         "stops of unsaved work": lack(permission=stop_what_saves),
         "stops of aged unsaved work": lack(permission=stop_nothing_aged),
-        "rescues": lack(rescuing=lambda board, durations, now: []),
+        "rescues": lack(stall_finding=lambda fleet_state, durations, now: []),
         "slow workers": lack(slow_finding=lambda *_: set()),
         "learned run times": Variant(whole, partial(Learning, NoDurations())),
         "learned speeds": Variant(whole, lambda: Learning(speeds=NoSpeeds())),
--- a/tools/bench/passes.py
+++ b/tools/bench/passes.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.plan import Plan, make_plan
 from primrosestile.decisions.work.speeds import Speeds
 from tools.bench.site_days import WORKLOADS
@@ -37,10 +37,10 @@
     decided: "hashlib._Hash" = field(default_factory=hashlib.sha256)
 
     def __call__(
-        self, board: Board, durations: Durations, speeds: Speeds, now: float
+        self, fleet_state: FleetState, durations: Durations, speeds: Speeds, now: float
     ) -> Plan:
         began = time.process_time()
-        plan = make_plan(board, durations, speeds, now)
+        plan = make_plan(fleet_state, durations, speeds, now)
         self.seconds.append(time.process_time() - began)
         self.decided.update(repr((now, *list_decisions(plan))).encode())
         return plan
@@ -56,11 +56,11 @@
         (each.unit.job.job_id, each.unit.key, each.gainer.job.job_id, each.cost)
         for each in plan.stops
     ]
-    rescues = [
+    stall_restarts = [
         (each.unit.job.job_id, each.unit.key, each.worker.name, each.lost)
-        for each in plan.rescues
+        for each in plan.stall_restarts
     ]
-    return [*starts, *stops, *rescues]
+    return [*starts, *stops, *stall_restarts]
 
 
 def enlarge(workload: Workload, workers: int, seconds: float) -> Workload:
--- a/tools/bench/site_driver.py
+++ b/tools/bench/site_driver.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from primrosestile.decisions.work.durations import Durations
-from primrosestile.decisions.work.fleet_state import Board
+from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.placement import (
     fill,
     find_eligible,
@@ -27,7 +27,7 @@
 from primrosestile.decisions.work.queue_order import Rank
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Proof, Unit
-from primrosestile.decisions.work.worker_quarantine import Trust
+from primrosestile.decisions.work.worker_quarantine import WorkerQuarantine
 from primrosestile.state.policy import Policy, Pool, Queue
 from primrosestile.state.work import JobState
 from primrosestile.state.workers import EndKind, WorkerEntry
@@ -61,19 +61,19 @@
     """Decides what starts and what is stopped."""
 
     def __call__(
-        self, board: Board, durations: Durations, speeds: Speeds, now: float
+        self, fleet_state: FleetState, durations: Durations, speeds: Speeds, now: float
     ) -> Plan:
         """Return what to do now."""
         ...
 
 
 def plan_first_fit(
-    board: Board, durations: Durations, speeds: Speeds, now: float
+    fleet_state: FleetState, durations: Durations, speeds: Speeds, now: float
 ) -> Plan:
     """Start what fits in the order of arrival; keep, stop and learn nothing."""
-    rooms = make_rooms(board, now)
+    rooms = make_rooms(fleet_state, now)
     starts = []
-    waiting = sorted(board.list_waiting(now), key=lambda unit: unit.job.accepted)
+    waiting = sorted(fleet_state.list_waiting(now), key=lambda unit: unit.job.accepted)
     for unit in waiting:
         workers = fill(unit, find_eligible(unit, rooms, now))
         if workers is not None:
@@ -138,7 +138,7 @@
     restarts: int = 0
     most_starts: int = 0
     passes: int = 0
-    rescues: int = 0
+    stall_restarts: int = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -184,7 +184,7 @@
 
     durations: Durations = field(default_factory=Durations)
     speeds: Speeds = field(default_factory=Speeds)
-    trust: Trust = field(default_factory=Trust)
+    trust: WorkerQuarantine = field(default_factory=WorkerQuarantine)
 
 
 class SiteRun:
@@ -205,7 +205,7 @@
         self._durations = learning.durations
         self._speeds = learning.speeds
         self._trust = learning.trust
-        self._board = Board(_make_policy(workload), wall=0.0)
+        self._board = FleetState(_make_policy(workload), wall=0.0)
         # How many times as long as usual each worker takes at present.
         self._paces: dict[str, float] = {}
         self._looked_at: dict[str, float] = {}
@@ -334,14 +334,14 @@
         self.day.passes += 1
         self._note_progress()
         plan = self._planner(self._board, self._durations, self._speeds, self._now)
-        for rescue in plan.rescues:
-            until = self._trust.note_still(
+        for rescue in plan.stall_restarts:
+            until = self._trust.note_stalled(
                 rescue.worker.name, self._now, len(self._board.workers)
             )
             rescue.worker.quarantined_until = max(
                 rescue.worker.quarantined_until, until
             )
-            self.day.rescues += 1
+            self.day.stall_restarts += 1
         for start in plan.starts:
             names = [worker.name for worker in start.workers]
             self._board.order(start.unit, names, self._now)
@@ -376,7 +376,7 @@
                 percent = math.floor(min(100.0, 100 * share))
                 if percent > member.percent:
                     member.percent = percent
-                    member.moved_at = self._now
+                    member.progressed_at = self._now
 
     def _begin(self, unit: Unit) -> None:
         if unit.abandoned or not unit.members:
@@ -460,7 +460,7 @@
     def _learn(self, unit: Unit, run: _Run) -> None:
         first = unit.members[0]
         for member in unit.members:
-            member.moved_at = self._now
+            member.progressed_at = self._now
             self._trust.note_done(member.worker)
         self._speeds.note_done(first, self._now)
         if not run.resumed:
