--- a/features/doubles/drawnday.py
+++ b/features/doubles/drawnday.py
@@ -152,7 +152,7 @@
         if process is None or not self.accepted:
             return
         job_id = self.draw.choice(sorted(self.accepted))
-        queue = process.policies.require().find_named(QUEUE)
+        queue = process.policies.require().find_queue_by_name(QUEUE)
         assert queue is not None
         self.cancelled.add(job_id)
         await process.submitting.cancel(job_id, queue, "domes")
--- a/features/doubles/fleetworld.py
+++ b/features/doubles/fleetworld.py
@@ -177,8 +177,8 @@
                 PlatformWorkerList(store, policies.find_pools, cordons=True),
                 policies,
                 term,
-                status_kept=120.0,
-                lease_longest=LEASE_LONGEST_SECONDS,
+                status_retention_seconds=120.0,
+                max_lease_seconds=LEASE_LONGEST_SECONDS,
                 advice=self.fleet.advice,
                 upkeep=self.vms,
             )
@@ -270,7 +270,7 @@
     ) -> JobState | None:
         """Return what a caller is shown."""
         running = self.processes[process]
-        found = running.policies.require().find_named(queue)
+        found = running.policies.require().find_queue_by_name(queue)
         assert found is not None, f"no queue {queue}"
         return await running.submitting.read_state(job_id, found)
 
--- a/features/doubles/foreign.py
+++ b/features/doubles/foreign.py
@@ -7,8 +7,8 @@
 
 from features.doubles.fleetworld import PlatformEntry, make_address, make_policy
 
-from primrosestile.platform.looks import read_look
-from primrosestile.protocol.fleet import Refusal, WorkerLook
+from primrosestile.platform.looks import read_poll
+from primrosestile.protocol.fleet import PollAnswer, Refusal
 from primrosestile.protocol.store import Entry, Page
 from primrosestile.transport.connections import Reply
 from primrosestile_standin.fleetcalls import FleetCalls
@@ -204,12 +204,12 @@
     """
 
     def __init__(self, calls: FleetCalls) -> None:
-        self._poll = calls.look
+        self._poll = calls.poll
         self.edit: Change | None = None
         self.polls = 0
-        calls.look = self.look  # type: ignore[method-assign]
+        calls.poll = self.poll  # type: ignore[method-assign]
 
-    async def look(self, *args: Any) -> WorkerLook | Refusal:
+    async def poll(self, *args: Any) -> PollAnswer | Refusal:
         answer = await self._poll(*args)
         self.polls += 1
         if isinstance(answer, Refusal):
@@ -217,20 +217,20 @@
         body = show_poll(answer)
         if self.edit is not None:
             self.edit(body)
-        return read_look(json.dumps(body).encode())[0]
+        return read_poll(json.dumps(body).encode())[0]
 
 
-def show_poll(look: WorkerLook) -> dict[str, Any]:
+def show_poll(poll: PollAnswer) -> dict[str, Any]:
     """Return a poll's answer in the form of a worker's JSON."""
     return {
-        "clock_ms": look.clock * 1000,
+        "clock_ms": poll.clock * 1000,
         "running": [
             [row.task, row.run, row.checkpoint, row.percent, row.usage]
-            for row in look.running
+            for row in poll.running
         ],
         "ended": [
             [row.number, row.task, row.run, row.kind, row.checkpoint]
-            for row in look.ended
+            for row in poll.ended
         ],
     }
 
--- a/features/doubles/network.py
+++ b/features/doubles/network.py
@@ -14,7 +14,7 @@
 from typing import Any, TypeVar
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.store import Change, Entry, Page, Store, Swap
+from primrosestile.protocol.store import Change, Entry, Page, Store, SwapResult
 from primrosestile.protocol.workers import (
     RequestAnswer,
     RequestOrder,
@@ -136,10 +136,12 @@
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Page:
         return await self._read(lambda: self._core.list(prefix, after, limit))
 
-    async def put(self, key: str, value: bytes, expected: int, lease: int = 0) -> Swap:
+    async def put(
+        self, key: str, value: bytes, expected: int, lease: int = 0
+    ) -> SwapResult:
         return await self._write(lambda: self._core.put(key, value, expected, lease))
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         return await self._write(lambda: self._core.delete(key, expected))
 
     async def grant_lease(self, seconds: int) -> int:
--- a/features/doubles/worklinks.py
+++ b/features/doubles/worklinks.py
@@ -17,23 +17,23 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.fleet import (
     OrderAnswer,
+    PollAnswer,
     Refusal,
     StartOrder,
     WorkerCalls,
-    WorkerLook,
 )
 from primrosestile.protocol.store import Entry, Page
 from primrosestile.protocol.transactions import (
-    Committed,
+    CommitResult,
     Condition,
-    Heard,
     TransactionalStore,
+    WatchBatch,
     Write,
 )
 from primrosestile.state.workers import WorkerEntry
 
 ORDER_TIMEOUT_SECONDS = 0.45
-LOOK_SLACK_SECONDS = 0.6
+POLL_SLACK_SECONDS = 0.6
 # A way that is slow, within the time that a caller waits.
 SLOW_SECONDS = 0.3
 T = TypeVar("T")
@@ -89,20 +89,20 @@
         self._calls = calls
         self._link = link
 
-    async def look(
+    async def poll(
         self,
         entry: WorkerEntry,
         fence: int,
         seen: int,
         until: float | None,
         wait: float,
-    ) -> WorkerLook | Refusal:
+    ) -> PollAnswer | Refusal:
         """Look at a worker."""
         return await self._pass(
             entry,
             self._link.look_ways,
-            lambda: self._calls.look(entry, fence, seen, until, wait),
-            wait + LOOK_SLACK_SECONDS,
+            lambda: self._calls.poll(entry, fence, seen, until, wait),
+            wait + POLL_SLACK_SECONDS,
         )
 
     async def start(
@@ -208,7 +208,7 @@
         conditions: Sequence[Condition],
         writes: Sequence[Write] = (),
         removals: Sequence[str] = (),
-    ) -> Committed:
+    ) -> CommitResult:
         """Make a change if all of its conditions hold."""
         return await run_outside(
             lambda: self._store.commit(conditions, writes, removals)
@@ -222,6 +222,6 @@
         """Renew a lease; return False when it has ended."""
         return await run_outside(lambda: self._store.keep_lease(lease))
 
-    async def watch_once(self, prefix: str, after: int, seconds: float) -> Heard:
+    async def watch_once(self, prefix: str, after: int, seconds: float) -> WatchBatch:
         """Return changes after a revision, as soon as there is one."""
         return await run_outside(lambda: self._store.watch_once(prefix, after, seconds))
--- a/features/doubles/workworld.py
+++ b/features/doubles/workworld.py
@@ -342,7 +342,7 @@
 
 def _find_queue(policy: Policy) -> Queue:
     """Return the queue of all jobs; operators may have taken it away."""
-    queue = policy.find_named(QUEUE)
+    queue = policy.find_queue_by_name(QUEUE)
     if queue is None:
         raise Failure(ErrorKind.NOT_FOUND, "no such queue")
     return queue
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -31,12 +31,12 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.advice import PlatformAdvice
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
-from primrosestile.platform.refusals import Refusals
+from primrosestile.platform.refusals import RejectionLog
 from primrosestile.platform.store import PlatformStore
-from primrosestile.platform.upkeep import PlatformUpkeep
+from primrosestile.platform.upkeep import PlatformMaintenance
 from primrosestile.platform.workers import PlatformWorkerList, PlatformWorkers
 from primrosestile.programs.node import METRICS_PORT
-from primrosestile.protocol.fleet import RunningTask, StartOrder, WorkerLook
+from primrosestile.protocol.fleet import PollAnswer, RunningTask, StartOrder
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import Condition, Write, list_entries
 from primrosestile.state.upkeep import VmState
@@ -134,19 +134,19 @@
     fail(make_store(body.encode()).grant_lease(2.0))
 
 
-async def look(body: bytes, status: int = 200) -> Any:
+async def poll(body: bytes, status: int = 200) -> Any:
     """Poll a worker that answers with one body."""
     calls = PlatformWorkers(CannedConnections(body, status))
     entry = await PlatformWorkerList(
         OnePage(("servers/w1", GOOD_WORKER))
     ).list_workers()
-    return await calls.look(entry.entries[0], 7, 0, None, 0.0)
+    return await calls.poll(entry.entries[0], 7, 0, None, 0.0)
 
 
 @when("a worker answers a poll with {row}")
 def answer_poll(context: Any, row: str) -> None:
-    context.poll = asyncio.run(look(make_poll_fault(row)))
-    assert isinstance(context.poll, WorkerLook)
+    context.poll = asyncio.run(poll(make_poll_fault(row)))
+    assert isinstance(context.poll, PollAnswer)
 
 
 @then("the poll returns the valid run and the valid end")
@@ -166,14 +166,14 @@
 @then("ends may be acknowledged up to number {most}")
 def check_acknowledgeable(context: Any, most: str) -> None:
     expected = None if most == "all" else int(most)
-    assert context.poll.forget_limit == expected, context.poll
+    assert context.poll.acknowledge_limit == expected, context.poll
 
 
 @then("a run with an unreadable percent and usage is still listed")
 def check_lenient(context: Any) -> None:
     rows = [["a.0.0.0", 1, 7, "41", 1e300], ["a.0.0.1", 2, None, 1e9]]
     body = {"clock_ms": 5, "running": rows, "ended": []}
-    answer = asyncio.run(look(json.dumps(body).encode()))
+    answer = asyncio.run(poll(json.dumps(body).encode()))
     assert answer.running == (
         RunningTask("a.0.0.0", 1, "", 0.0, None),
         RunningTask("a.0.0.1", 2, "", 0.0, None),
@@ -183,7 +183,7 @@
 
 @then("a poll that is answered {body} fails as unanswered")
 def check_unreadable(context: Any, body: str) -> None:
-    assert fail(look(body.encode())).kind is ErrorKind.WORKER_UNREACHABLE
+    assert fail(poll(body.encode())).kind is ErrorKind.WORKER_UNREACHABLE
 
 
 async def order(body: bytes) -> Any:
@@ -226,9 +226,9 @@
     assert not context.advice.complete
 
 
-def make_upkeep(body: Any, status: int = 200) -> PlatformUpkeep:
+def make_upkeep(body: Any, status: int = 200) -> PlatformMaintenance:
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    return PlatformUpkeep("", "p1", OnePage(), CannedConnections(data, status))
+    return PlatformMaintenance("", "p1", OnePage(), CannedConnections(data, status))
 
 
 @when("the list of VMs has a row of which only the name can be read")
@@ -273,7 +273,7 @@
 
 @then("only the valid wave is listed")
 def check_waves(context: Any) -> None:
-    calls = PlatformUpkeep("", "p1", context.store, CannedConnections(b""))
+    calls = PlatformMaintenance("", "p1", context.store, CannedConnections(b""))
     waves = asyncio.run(calls.list_waves())
     assert [wave.number for wave in waves] == [1], waves
 
@@ -414,7 +414,7 @@
     """Read a list of one entry several times, recording the counted rejections."""
     if "logged" not in context:
         context.logged = []
-        context.rejections = Refusals(
+        context.rejections = RejectionLog(
             lambda source, fault: context.logged.append((source.value, fault.value))
         )
     page = OnePage(("servers/x", value))
--- a/features/steps/foreign_fuzzing_steps.py
+++ b/features/steps/foreign_fuzzing_steps.py
@@ -25,9 +25,9 @@
 from primrosestile.platform.advice import PlatformAdvice
 from primrosestile.platform.entries import read_worker
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
-from primrosestile.platform.upkeep import PlatformUpkeep
+from primrosestile.platform.upkeep import PlatformMaintenance
 from primrosestile.platform.workers import PlatformWorkerList, PlatformWorkers
-from primrosestile.protocol.fleet import WorkerLook
+from primrosestile.protocol.fleet import PollAnswer
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import list_entries
 from primrosestile.state.work import JobState
@@ -125,11 +125,11 @@
     return b"\\ud800" not in body
 
 
-def look(body: bytes) -> Any:
+def poll(body: bytes) -> Any:
     """Poll a worker that answers with a body; return the result."""
     entry = read_worker(Entry("servers/w1", GOOD_WORKER, 1, 1))
     calls = PlatformWorkers(CannedConnections(body))
-    return asyncio.run(calls.look(entry, 7, 0, None, 0.0))
+    return asyncio.run(calls.poll(entry, 7, 0, None, 0.0))
 
 
 @then("{count:d} changed rows of a worker's answer never count as absent")
@@ -152,7 +152,7 @@
             b",".join(encoded["ended"]),
         )
         try:
-            found = look(body)
+            found = poll(body)
         except Failure as failure:
             assert failure.kind is ErrorKind.WORKER_UNREACHABLE
             return
@@ -161,7 +161,7 @@
     run_property(check, values, count)
 
 
-def check_poll(found: WorkerLook, name: str, place: int) -> None:
+def check_poll(found: PollAnswer, name: str, place: int) -> None:
     """Raise where an unreadable row counts as absent or may be acknowledged."""
     shown = {(row.task, row.run) for row in found.running}
     shown |= {(row.task, row.run) for row in found.ended}
@@ -175,19 +175,19 @@
         assert not found.complete
         ends = {(row.task, row.run) for row in found.ended}
         lost = [row[0] for row in ENDED if (row[1], row[2]) not in ends]
-        assert found.forget_limit is not None
-        assert found.forget_limit < min(lost, default=10)
+        assert found.acknowledge_limit is not None
+        assert found.acknowledge_limit < min(lost, default=10)
 
 
 @then("{count:d} changed answers of a worker are read or fail as declared")
 def change_answers(context: Any, count: int) -> None:
     def check(body: bytes) -> None:
         try:
-            found = look(body)
+            found = poll(body)
         except Failure as failure:
             assert failure.kind is ErrorKind.WORKER_UNREACHABLE
             return
-        assert isinstance(found, WorkerLook)
+        assert isinstance(found, PollAnswer)
         assert 0 <= found.clock < 3.2e8
 
     run_property(
@@ -199,7 +199,7 @@
 def change_waves(context: Any, count: int) -> None:
     def check(value: bytes) -> None:
         page = OnePage(("op/wave/1", GOOD_WAVE), ("op/wave/2", value))
-        calls = PlatformUpkeep("", "p1", page, CannedConnections(b""))
+        calls = PlatformMaintenance("", "p1", page, CannedConnections(b""))
         waves = asyncio.run(calls.list_waves())
         assert waves[0].number == 1 and waves[0].vms == ("m1", "m2")
         for wave in waves[1:]:
--- a/features/steps/jobbook_steps.py
+++ b/features/steps/jobbook_steps.py
@@ -10,7 +10,7 @@
 
 from primrosestile.coordination.cellpage import find_completion
 from primrosestile.coordination.jobbook import JobBook, make_job_key
-from primrosestile.protocol.store import Entry, Swap
+from primrosestile.protocol.store import Entry, SwapResult
 from primrosestile.state.jobs import JobRecord, JobSpec, JobState, Member
 from primrosestile.state.tenancy import Shape, Urgency
 from primrosestile_standin.store import MemoryStore
@@ -26,7 +26,9 @@
 
     slow = False
 
-    async def put(self, key: str, value: bytes, expected: int, lease: int = 0) -> Swap:
+    async def put(
+        self, key: str, value: bytes, expected: int, lease: int = 0
+    ) -> SwapResult:
         swap = await super().put(key, value, expected, lease)
         if self.slow:
             await asyncio.sleep(ANSWER_SECONDS)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -18,7 +18,7 @@
 from primrosestile.platform.entries import read_worker
 from primrosestile.platform.policy import POLICY_KEY, read_policy
 from primrosestile.platform.refusals import Fault, Unreadable
-from primrosestile.platform.settings import BadSettings, parse_settings
+from primrosestile.platform.settings import SettingsError, parse_settings
 from primrosestile.platform.store import PlatformStore
 from primrosestile.platform.workers import PlatformWorkers
 from primrosestile.programs.metrics import Metrics
@@ -79,15 +79,15 @@
     assert settings.callers_address == "127.0.0.1:8521"
     assert settings.store_address == "127.0.0.1:8524"
     assert settings.internal_ports == (7000, 7015)
-    assert settings.bounds.key_revoked == 5.0
-    assert settings.bounds.lease_longest == 10.0
+    assert settings.bounds.key_revoke_seconds == 5.0
+    assert settings.bounds.max_lease_seconds == 10.0
 
 
 @then("parsing fails and names the missing line")
 def step_missing(context: Any) -> None:
     try:
         parse_settings(context.lines)
-    except BadSettings as error:
+    except SettingsError as error:
         assert "platform.address" in str(error)
     else:
         raise AssertionError("the settings were accepted")
@@ -148,9 +148,13 @@
     assert step.need == Need(500, 256, 2)
     assert (step.count, step.estimate_seconds, step.after) == (4, 0.9, (0,))
     assert step.gang and step.one_rack and step.checkpoints and step.speculative
-    assert (step.label, step.data_rack, step.most_per_worker) == ("a", "r1-3", 2)
-    assert step.lasting and step.filling
-    assert (step.image, step.target_seconds, step.away_limit) == ("im", 0.08, 1)
+    assert (step.label, step.data_rack, step.max_per_worker) == ("a", "r1-3", 2)
+    assert step.daemon and step.best_effort
+    assert (step.image, step.latency_target_seconds, step.max_unavailable) == (
+        "im",
+        0.08,
+        1,
+    )
     repeats = context.submission.repeats
     assert (repeats.count, repeats.first_at, repeats.interval) == (3, 5.0, 2.0)
 
--- a/features/steps/platform_upkeep_steps.py
+++ b/features/steps/platform_upkeep_steps.py
@@ -10,8 +10,8 @@
 from platform_steps import find_free_port
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.platform.upkeep import PlatformUpkeep
-from primrosestile.protocol.upkeep import UpkeepAnswer
+from primrosestile.platform.upkeep import PlatformMaintenance
+from primrosestile.protocol.upkeep import MaintenanceAnswer
 from primrosestile.state.upkeep import VmState, WorkerVm
 from primrosestile.transport.connections import Connections
 from primrosestile_standin.fleetstore import FleetStore
@@ -26,16 +26,18 @@
     "more": {"machines": [{"machine": "m2", "pool": "engine", "state": "upkeep"}]},
 }
 REFUSED = {
-    "m3": (409, "fence", UpkeepAnswer.FENCE),
-    "m4": (409, "busy", UpkeepAnswer.BUSY),
-    "m5": (409, "wave", UpkeepAnswer.NOT_THERE),
-    "m6": (400, "", UpkeepAnswer.NOT_THERE),
-    "m7": (429, "", UpkeepAnswer.THROTTLED),
+    "m3": (409, "fence", MaintenanceAnswer.FENCE),
+    "m4": (409, "busy", MaintenanceAnswer.BUSY),
+    "m5": (409, "wave", MaintenanceAnswer.NOT_IN_WAVE),
+    "m6": (400, "", MaintenanceAnswer.NOT_IN_WAVE),
+    "m7": (429, "", MaintenanceAnswer.THROTTLED),
 }
 UNKNOWN_STATUSES = {"m8": 500, "m9": 502, "m10": 503, "m11": 504, "m12": 404}
 
 
-def with_vm_list(use: Callable[[PlatformUpkeep, list[Any]], Coroutine[Any, Any, None]]):
+def with_vm_list(
+    use: Callable[[PlatformMaintenance, list[Any]], Coroutine[Any, Any, None]],
+):
     """Run a coroutine with an adapter to a local server, and the orders it received."""
 
     async def run() -> None:
@@ -63,7 +65,7 @@
         try:
             store = FleetStore().connect("p1")
             address = f"127.0.0.1:{port}"
-            await use(PlatformUpkeep(address, "p1", store, connections), orders)
+            await use(PlatformMaintenance(address, "p1", store, connections), orders)
         finally:
             await connections.close()
             await end.cleanup()
@@ -73,10 +75,10 @@
 
 @then("the VMs on two pages are listed")
 def step_pages(context: Any) -> None:
-    async def use(calls: PlatformUpkeep, orders: list[Any]) -> None:
+    async def use(calls: PlatformMaintenance, orders: list[Any]) -> None:
         assert await calls.list_vms() == (
             WorkerVm("m1", "engine", VmState.UP, "w1"),
-            WorkerVm("m2", "engine", VmState.UPKEEP, ""),
+            WorkerVm("m2", "engine", VmState.MAINTENANCE, ""),
         )
 
     with_vm_list(use)
@@ -84,8 +86,8 @@
 
 @then("a maintenance order carries its holder and fence")
 def step_order(context: Any) -> None:
-    async def use(calls: PlatformUpkeep, orders: list[Any]) -> None:
-        assert await calls.begin("m1", 7, 42) is UpkeepAnswer.BEGUN
+    async def use(calls: PlatformMaintenance, orders: list[Any]) -> None:
+        assert await calls.begin("m1", 7, 42) is MaintenanceAnswer.BEGUN
         headers, body = orders[0]
         assert body == {"machine": "m1", "wave": 7}
         assert headers["Duty-Holder"] == "p1"
@@ -96,7 +98,7 @@
 
 @then("a refused order returns its reason")
 def step_refused(context: Any) -> None:
-    async def use(calls: PlatformUpkeep, orders: list[Any]) -> None:
+    async def use(calls: PlatformMaintenance, orders: list[Any]) -> None:
         for machine, (_, _, answer) in REFUSED.items():
             assert await calls.begin(machine, 7, 42) is answer, machine
 
@@ -105,7 +107,7 @@
 
 @then("an order with any other answer fails as unanswered")
 def step_unanswered(context: Any) -> None:
-    async def use(calls: PlatformUpkeep, orders: list[Any]) -> None:
+    async def use(calls: PlatformMaintenance, orders: list[Any]) -> None:
         for machine in UNKNOWN_STATUSES:
             try:
                 answer = await calls.begin(machine, 7, 42)
--- a/features/steps/settingstore_steps.py
+++ b/features/steps/settingstore_steps.py
@@ -26,7 +26,7 @@
 )
 from primrosestile.decisions.settings_change import check_change
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.store import Swap
+from primrosestile.protocol.store import SwapResult
 from primrosestile.state.settings import StoredSetting
 from primrosestile.state.tenancy import Guarantees, Policy
 from primrosestile_standin.store import MemoryStore
@@ -45,7 +45,9 @@
 
     dying = False
 
-    async def put(self, key: str, value: bytes, expected: int, lease: int = 0) -> Swap:
+    async def put(
+        self, key: str, value: bytes, expected: int, lease: int = 0
+    ) -> SwapResult:
         if self.dying and key.startswith("settings/"):
             raise Dies
         return await super().put(key, value, expected, lease)
@@ -56,7 +58,9 @@
 
     ending = False
 
-    async def put(self, key: str, value: bytes, expected: int, lease: int = 0) -> Swap:
+    async def put(
+        self, key: str, value: bytes, expected: int, lease: int = 0
+    ) -> SwapResult:
         swap = await super().put(key, value, expected, lease)
         if not self.ending:
             return swap
--- a/features/steps/work_decisions_steps.py
+++ b/features/steps/work_decisions_steps.py
@@ -92,9 +92,9 @@
     one_rack=st.booleans(),
     label=st.sampled_from(["", "", "a", "b"]),
     data_rack=st.sampled_from(["", "", "r0", "r9"]),
-    most_per_worker=st.integers(0, 3),
+    max_per_worker=st.integers(0, 3),
     checkpoints=st.booleans(),
-    filling=st.booleans(),
+    best_effort=st.booleans(),
 )
 JOBS = st.lists(
     st.tuples(
@@ -147,7 +147,7 @@
             assert not worker.entry.leaving and worker.entry.pool == POOL
             assert not unit.step.label or unit.step.label in worker.entry.labels
             spread[unit.step_key] += 1
-            bound = unit.step.most_per_worker
+            bound = unit.step.max_per_worker
             assert not bound or spread[unit.step_key] <= bound
 
 
@@ -291,7 +291,7 @@
 @given("worker 0 has taken {factor:g} times as long as the others, {count:d} times")
 def step_slow(context: Any, factor: float, count: int) -> None:
     fleet_state = context.fleet_state
-    step = Step(4, Need(100, 100, 1), gang=True, most_per_worker=1)
+    step = Step(4, Need(100, 100, 1), gang=True, max_per_worker=1)
     for number in range(count):
         add_job(fleet_state, number, 1, (step,))
         apply_plan(fleet_state, plan_at(fleet_state, 0.0), 0.0)
@@ -417,7 +417,7 @@
     " with at most 1 on a worker waits"
 )
 def step_bounded_gang(context: Any, count: int, each: int) -> None:
-    step = Step(count, Need(100, 100, each), 4.0, gang=True, most_per_worker=1)
+    step = Step(count, Need(100, 100, each), 4.0, gang=True, max_per_worker=1)
     add_job(context.fleet_state, 2, 0, (step,), now=5.0)
     context.plan = plan_at(context.fleet_state, 5.0)
 
--- a/features/steps/work_reading_steps.py
+++ b/features/steps/work_reading_steps.py
@@ -162,7 +162,7 @@
         assert runs, "nothing runs"
         context.job_id = runs[0][:16]
         process = world.processes["p1"]
-        queue = process.policies.require().find_named("usual")
+        queue = process.policies.require().find_queue_by_name("usual")
         assert queue is not None
         assert await process.submitting.cancel(context.job_id, queue, "domes")
         world.store.compact()
@@ -236,7 +236,7 @@
     body = json.dumps({"spec": "", "steps": steps}).encode()
 
     def make(policy: Policy) -> Submission:
-        queue = policy.find_named("usual")
+        queue = policy.find_queue_by_name("usual")
         assert queue is not None
         accepted_at = read_wall_clock() - seconds
         return read_submission(body, job_id, queue, "domes", accepted_at)
@@ -366,7 +366,7 @@
         faults = world.fleet.workers[name].faults
         faults.cut = True
         process = world.processes["p1"]
-        queue = process.policies.require().find_named("usual")
+        queue = process.policies.require().find_queue_by_name("usual")
         assert queue is not None
         assert await process.submitting.cancel(job_id, queue, "domes")
         await asyncio.sleep(seconds)
@@ -432,7 +432,7 @@
 
     async def ask() -> list[int]:
         running = world.processes[process]
-        queue = running.policies.require().find_named("usual")
+        queue = running.policies.require().find_queue_by_name("usual")
         assert queue is not None
         asked = [running.submitting.count_pending(queue) for _ in range(count)]
         return await asyncio.gather(*asked)
--- a/features/steps/work_review_steps.py
+++ b/features/steps/work_review_steps.py
@@ -11,7 +11,7 @@
 from primrosestile.coordination.work.keys import WISHES_PREFIX, make_job_key
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.policy import POLICY_KEY
-from primrosestile.protocol.upkeep import UpkeepAnswer
+from primrosestile.protocol.upkeep import MaintenanceAnswer
 from primrosestile.state.upkeep import Wave
 
 ANSWER_SECONDS = 0.005
@@ -23,14 +23,14 @@
     begin = vms.begin
     back_at: list[float] = []
 
-    async def begin_or_refuse(name: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def begin_or_refuse(name: str, wave: int, fence: int) -> MaintenanceAnswer:
         life = next(each.worker for each in await vms.list_vms() if each.name == name)
         if name != vm or not life.endswith("+"):
             return await begin(name, wave, fence)
         if not back_at:
             back_at.append(read_clock())
         if read_clock() - back_at[0] < seconds:
-            return UpkeepAnswer.BUSY
+            return MaintenanceAnswer.BUSY
         return await begin(name, wave, fence)
 
     vms.begin = begin_or_refuse
@@ -47,7 +47,7 @@
     vms = context.world.vms
     begin = vms.begin
 
-    async def begin_or_lose(name: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def begin_or_lose(name: str, wave: int, fence: int) -> MaintenanceAnswer:
         if wave == number:
             raise Failure(ErrorKind.LIST_UNAVAILABLE, "lost on its way")
         return await begin(name, wave, fence)
--- a/features/steps/work_slow_owner_steps.py
+++ b/features/steps/work_slow_owner_steps.py
@@ -119,7 +119,7 @@
 
 async def cancel_at_other(context: Any, name: str) -> None:
     process = find_other(context)
-    queue = process.policies.require().find_named("usual")
+    queue = process.policies.require().find_queue_by_name("usual")
     assert await process.submitting.cancel(make_id(name), queue, "domes")
 
 
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -254,7 +254,7 @@
 def step_cancel(context: Any, name: str) -> None:
     async def cancel() -> None:
         process = context.world.processes["p1"]
-        queue = process.policies.require().find_named("usual")
+        queue = process.policies.require().find_queue_by_name("usual")
         assert await process.submitting.cancel(make_id(name), queue, "domes")
 
     context.world.run(cancel())
--- a/features/steps/work_submitting_steps.py
+++ b/features/steps/work_submitting_steps.py
@@ -208,7 +208,7 @@
 def step_cancel_none(context: Any, name: str, process: str) -> None:
     async def cancel() -> None:
         running = context.world.processes[process]
-        queue = running.policies.require().find_named("usual")
+        queue = running.policies.require().find_queue_by_name("usual")
         assert not await running.submitting.cancel(make_id(name), queue, "domes")
 
     context.world.run(cancel())
@@ -224,7 +224,7 @@
 def step_pending(context: Any, process: str, count: int) -> None:
     async def look() -> int:
         running = context.world.processes[process]
-        queue = running.policies.require().find_named("usual")
+        queue = running.policies.require().find_queue_by_name("usual")
         found = await running.submitting.count_pending(queue)
         return int(found)
 
@@ -248,7 +248,7 @@
 
 def find_queue(context: Any, name: str) -> Queue:
     """Return a queue as p1 knows it."""
-    queue = context.world.processes["p1"].policies.require().find_named(name)
+    queue = context.world.processes["p1"].policies.require().find_queue_by_name(name)
     assert queue is not None, f"no queue {name}"
     return queue
 
--- a/features/steps/work_upkeep_steps.py
+++ b/features/steps/work_upkeep_steps.py
@@ -14,7 +14,7 @@
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.keys import UPKEEP_PREFIX
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.upkeep import UpkeepAnswer
+from primrosestile.protocol.upkeep import MaintenanceAnswer
 from primrosestile.state.upkeep import VmState, Wave, WaveRecord, WorkerVm
 
 LIST_SECONDS = 0.1
@@ -37,10 +37,10 @@
     vms = context.world.vms
     begin, read = vms.begin, vms.list_vms
 
-    async def begin_or_refuse(name: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def begin_or_refuse(name: str, wave: int, fence: int) -> MaintenanceAnswer:
         if name in [each.name for each in await read() if each.state is VmState.UP]:
             return await begin(name, wave, fence)
-        return UpkeepAnswer.BUSY
+        return MaintenanceAnswer.BUSY
 
     vms.begin = begin_or_refuse
 
@@ -55,7 +55,7 @@
     vms = context.world.vms
     begin = vms.begin
 
-    async def replace_and_begin(name: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def replace_and_begin(name: str, wave: int, fence: int) -> MaintenanceAnswer:
         if name == vm and not vms.orders:
             vms.replace(name)
             await asyncio.sleep(SLOW_ORDER_SECONDS)
@@ -100,11 +100,11 @@
     refused: list[str] = []
     recorded: list[int] = []
 
-    async def refuse_once(name: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def refuse_once(name: str, wave: int, fence: int) -> MaintenanceAnswer:
         if refused:
             return await begin(name, wave, fence)
         refused.append(name)
-        return UpkeepAnswer.BUSY
+        return MaintenanceAnswer.BUSY
 
     async def commit_unheard(conditions: Any, writes: Any = (), **named: Any) -> Any:
         done = await commit(conditions, writes, **named)
@@ -185,7 +185,7 @@
     begin = vms.begin
     first_at: list[float] = []
 
-    async def begin_or_lose(name: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def begin_or_lose(name: str, wave: int, fence: int) -> MaintenanceAnswer:
         if wave != number:
             return await begin(name, wave, fence)
         first_at.append(read_clock())
@@ -287,7 +287,7 @@
     begin = world.vms.begin
     context.there = []
 
-    async def count_and_begin(name: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def count_and_begin(name: str, wave: int, fence: int) -> MaintenanceAnswer:
         there = len(list_running(world, SERVICE))
         known = len(world.vms.orders)
         answer = await begin(name, wave, fence)
--- a/features/steps/work_waiting_steps.py
+++ b/features/steps/work_waiting_steps.py
@@ -70,7 +70,7 @@
 def step_cancel(context: Any) -> None:
     async def cancel() -> None:
         process = find_alive(context)
-        queue = process.policies.require().find_named(QUEUE)
+        queue = process.policies.require().find_queue_by_name(QUEUE)
         assert queue is not None
         assert await process.submitting.cancel(context.waiting[0], queue, "domes")
 
@@ -81,7 +81,7 @@
 def step_counts(context: Any, count: int) -> None:
     async def look() -> int:
         process = find_alive(context)
-        queue = process.policies.require().find_named(QUEUE)
+        queue = process.policies.require().find_queue_by_name(QUEUE)
         assert queue is not None
         return await process.submitting.count_pending(queue)
 
--- a/src/primrosestile/coordination/work/caring.py
+++ b/src/primrosestile/coordination/work/caring.py
@@ -76,7 +76,7 @@
     ) -> None:
         sent_at = read_clock()
         try:
-            answer = await self._calls.look(entry, self._term.fence, 0, until, 0.0)
+            answer = await self._calls.poll(entry, self._term.fence, 0, until, 0.0)
         except Failure:
             return
         if answer is Refusal.FENCE:
--- a/src/primrosestile/coordination/work/election.py
+++ b/src/primrosestile/coordination/work/election.py
@@ -31,8 +31,8 @@
     Write,
 )
 from primrosestile.state.work import (
-    GivenUpRecord,
     OwnerRecord,
+    ResignationRecord,
     decode_owner,
     encode_record,
 )
@@ -241,7 +241,9 @@
         self._lease = 0
         writes = []
         if term.resigned:
-            record = encode_record(GivenUpRecord((term.earlier_resignations or 0) + 1))
+            record = encode_record(
+                ResignationRecord((term.earlier_resignations or 0) + 1)
+            )
             writes.append(Write(GIVEN_UP_KEY, record))
         try:
             await self._store.commit(
--- a/src/primrosestile/coordination/work/intake.py
+++ b/src/primrosestile/coordination/work/intake.py
@@ -40,7 +40,7 @@
     Progress,
     decode_progress,
     decode_submission,
-    is_of_job,
+    matches_submission,
 )
 
 # A watch may be silent for good; renewed this often, it delays a change by one wait.
@@ -207,7 +207,7 @@
         if submission.job_id != job_id:
             self._note_unreadable(entry.key, "the record is another job's")
             return
-        if progress is not None and not is_of_job(progress, submission):
+        if progress is not None and not matches_submission(progress, submission):
             self._note_unreadable(
                 PROGRESS_PREFIX + job_id, "the record is another job's"
             )
--- a/src/primrosestile/coordination/work/links.py
+++ b/src/primrosestile/coordination/work/links.py
@@ -29,10 +29,10 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.fleet import (
     EndedTask,
+    PollAnswer,
     Refusal,
     RunningTask,
     WorkerCalls,
-    WorkerLook,
 )
 from primrosestile.state.work import Phase
 from primrosestile.state.workers import EndKind, WorkerEntry
@@ -191,7 +191,7 @@
         entry = self.entry
         until = self.find_lease_end() if self.worker.acquired else None
         wait = POLL_SECONDS if waiting and until is not None else 0.0
-        answer = await self._calls.look(
+        answer = await self._calls.poll(
             entry, self._term.fence, self._numbers.seen, until, wait
         )
         if isinstance(answer, Refusal):
@@ -211,7 +211,7 @@
         if refusal is Refusal.FENCE:
             _log.warning("fence_refused", worker=self.worker.name, by="look")
             self._term.lost.set()
-        elif refusal is Refusal.OTHER_LIFE:
+        elif refusal is Refusal.OTHER_INCARNATION:
             await self._process_other_incarnation(address)
         else:
             await asyncio.sleep(RETRY_SECONDS)
@@ -241,17 +241,17 @@
         self._board.drop_worker(worker.name, Proof.LIFE_OVER)
         self._wake()
 
-    async def _process_poll(self, look: WorkerLook, sent_at: float) -> None:
-        self._process_running(look.running)
-        fresh = [each for each in look.ended if each.number > self._numbers.seen]
-        last = self._numbers.take(look.ended, read_clock())
-        if look.forget_limit is not None:
-            last = min(last, look.forget_limit)
-        self._pause = self._choose_pause(look)
+    async def _process_poll(self, poll: PollAnswer, sent_at: float) -> None:
+        self._process_running(poll.running)
+        fresh = [each for each in poll.ended if each.number > self._numbers.seen]
+        last = self._numbers.take(poll.ended, read_clock())
+        if poll.acknowledge_limit is not None:
+            last = min(last, poll.acknowledge_limit)
+        self._pause = self._choose_pause(poll)
         for ended in fresh:
             self._process_end(ended)
-        if look.complete and len(look.ended) < ENDS_PER_POLL:
-            self._process_absent(look, sent_at)
+        if poll.complete and len(poll.ended) < ENDS_PER_POLL:
+            self._process_absent(poll, sent_at)
         if not self.worker.acquired and self.clock.known:
             self.worker.acquired = True
             # An owner's first contacts with its workers are logged as one summary.
@@ -261,12 +261,12 @@
         if fresh:
             await self._record_ends(last)
 
-    def _choose_pause(self, look: WorkerLook) -> float:
+    def _choose_pause(self, poll: PollAnswer) -> float:
         """Return how long to wait before the next poll, in seconds.
 
         Ends that can't be acknowledged yet make the worker answer at once.
         """
-        if look.forget_limit is not None:
+        if poll.acknowledge_limit is not None:
             return POLL_SECONDS
         return UNCONFIRMED_PAUSE_SECONDS if self._numbers.doubtful else 0.0
 
@@ -321,10 +321,10 @@
         self._board.note_end(ended.task, ended.run, ended.kind, ended.checkpoint)
         self._stopped.pop((ended.task, ended.run), None)
 
-    def _process_absent(self, look: WorkerLook, sent_at: float) -> None:
+    def _process_absent(self, poll: PollAnswer, sent_at: float) -> None:
         """Mark runs as gone that the worker neither runs nor will start any more."""
-        present = {(row.task, row.run) for row in look.running}
-        present.update((each.task, each.run) for each in look.ended)
+        present = {(row.task, row.run) for row in poll.running}
+        present.update((each.task, each.run) for each in poll.ended)
         for key, answered_at in list(self._stopped.items()):
             if key in present or answered_at > sent_at:
                 continue
--- a/src/primrosestile/coordination/work/metering.py
+++ b/src/primrosestile/coordination/work/metering.py
@@ -7,10 +7,10 @@
 from primrosestile.errors import Failure
 from primrosestile.protocol.fleet import (
     OrderAnswer,
+    PollAnswer,
     Refusal,
     StartOrder,
     WorkerCalls,
-    WorkerLook,
 )
 from primrosestile.state.workers import WorkerEntry
 
@@ -56,16 +56,16 @@
             shares.append(failed / (answered + failed))
         return calls, sum(shares) / len(shares) if shares else 0.0
 
-    async def look(
+    async def poll(
         self,
         entry: WorkerEntry,
         fence: int,
         seen: int,
         until: float | None,
         wait: float,
-    ) -> WorkerLook | Refusal:
+    ) -> PollAnswer | Refusal:
         """Extend the lease, acknowledge ends up to `seen`, wait for another end."""
-        call = self._calls.look(entry, fence, seen, until, wait)
+        call = self._calls.poll(entry, fence, seen, until, wait)
         return await self._note(entry, call)
 
     async def start(
--- a/src/primrosestile/coordination/work/ownwatch.py
+++ b/src/primrosestile/coordination/work/ownwatch.py
@@ -27,7 +27,7 @@
 )
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import Condition, TransactionalStore
-from primrosestile.state.work import decode_given_up
+from primrosestile.state.work import decode_resignations
 
 # The interval of the measurements: short compared with the ages that are judged.
 CHECK_SECONDS = 0.25
@@ -181,7 +181,7 @@
             self._note_record(0)
             return
         try:
-            self._note_record(decode_given_up(entry.value))
+            self._note_record(decode_resignations(entry.value))
         except msgspec.MsgspecError as error:
             # One bad value must not end each term at its start. It counts as the
             # highest step, and is removed like a good one once the owner is healthy.
--- a/src/primrosestile/coordination/work/recording.py
+++ b/src/primrosestile/coordination/work/recording.py
@@ -41,7 +41,7 @@
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import (
     CHANGE_LIMIT,
-    Committed,
+    CommitResult,
     Condition,
     TransactionalStore,
     Write,
@@ -191,7 +191,7 @@
                 continue
             waiting += self._split(self._note_found(outcome, records))
 
-    async def _commit(self, parts: Sequence[_Part]) -> Committed:
+    async def _commit(self, parts: Sequence[_Part]) -> CommitResult:
         """Commit one change; a failed call is repeated until the store answers."""
         conditions = [Condition(OWNER_KEY, self._term.fence)]
         for part in parts:
@@ -262,7 +262,7 @@
         self._waiting.discard(job.job_id)
 
     def _note_found(
-        self, outcome: Committed, records: Sequence[_Record]
+        self, outcome: CommitResult, records: Sequence[_Record]
     ) -> list[_Record]:
         """Note the revisions in the store; return the records still to be written."""
         found = {entry.key: entry for entry in outcome.found}
--- a/src/primrosestile/coordination/work/scheduling.py
+++ b/src/primrosestile/coordination/work/scheduling.py
@@ -53,7 +53,7 @@
 from primrosestile.protocol.advice import AdviceCalls
 from primrosestile.protocol.fleet import WorkerCalls, WorkerList
 from primrosestile.protocol.transactions import TransactionalStore
-from primrosestile.protocol.upkeep import UpkeepCalls
+from primrosestile.protocol.upkeep import MaintenanceCalls
 from primrosestile.state.workers import EndKind, WorkerEntry
 
 # The longest time without a pass: some changes come with time and without an event,
@@ -87,16 +87,16 @@
         workers: WorkerList,
         policies: PolicyWatch,
         term: Term,
-        status_kept: float,
-        lease_longest: float,
+        status_retention_seconds: float,
+        max_lease_seconds: float,
         advice: AdviceCalls,
-        upkeep: UpkeepCalls,
+        upkeep: MaintenanceCalls,
     ) -> None:
         self._store = store
         self._calls = MeteredCalls(calls)
         self._policies = policies
         self._term = term
-        self._max_lease_seconds = lease_longest
+        self._max_lease_seconds = max_lease_seconds
         policy = policies.policy
         assert policy is not None, "a term begins after the first policy is read"
         self._board = FleetState(policy, read_wall_clock())
@@ -104,7 +104,7 @@
         self._durations = Durations()
         self._speeds = Speeds()
         self._statistics = StatisticsStore(store, term, self._durations, self._speeds)
-        self._ended = EndedJobs(store, term, status_kept)
+        self._ended = EndedJobs(store, term, status_retention_seconds)
         self._recorder = Recorder(store, term, self._board, self._ended)
         self._pass_wanted = asyncio.Event()
         self._links: dict[str, WorkerLink] = {}
@@ -120,7 +120,9 @@
             upkeep, store, term, self._board, self._wake
         )
         self._advisor = Advisor(advice, self._board, self._durations, term, self._wake)
-        self._lease_extender = LeaseExtender(self._calls, workers, term, lease_longest)
+        self._lease_extender = LeaseExtender(
+            self._calls, workers, term, max_lease_seconds
+        )
         self._health = HealthMonitor(
             store,
             term,
@@ -254,7 +256,7 @@
         seconds = read_clock() - (member.up_at or member.since)
         # A daemon task may fail at any time; only an early failure counts against its
         # worker.
-        expected = member.unit.step.lasting and seconds > AT_ONCE_SECONDS
+        expected = member.unit.step.daemon and seconds > AT_ONCE_SECONDS
         if worker is None or expected:
             return
         until = self._trust.note_failed(
--- a/src/primrosestile/coordination/work/submitting.py
+++ b/src/primrosestile/coordination/work/submitting.py
@@ -26,7 +26,7 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import (
-    Committed,
+    CommitResult,
     Condition,
     TransactionalStore,
     Write,
@@ -116,7 +116,7 @@
                 return submission
         raise Failure(ErrorKind.STORE_UNAVAILABLE, "the policy keeps changing")
 
-    def _apply_found(self, outcome: Committed) -> dict[str, Entry]:
+    def _apply_found(self, outcome: CommitResult) -> dict[str, Entry]:
         """Apply a newer policy; return the entries found, by key."""
         found = {entry.key: entry for entry in outcome.found}
         policy = found.get(self._policy_key)
@@ -217,7 +217,7 @@
         if job.queue == queue:
             return True
         policy = self._policies.policy
-        return policy is not None and policy.find_named(job.queue) is None
+        return policy is not None and policy.find_queue_by_name(job.queue) is None
 
     def _check_same(self, stored: Submission | EndedRecord, sent: Submission) -> None:
         """Refuse a job whose id another job has.
--- a/src/primrosestile/coordination/work/upkeep.py
+++ b/src/primrosestile/coordination/work/upkeep.py
@@ -26,7 +26,7 @@
 from primrosestile.decisions.work.units import Proof
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import TransactionalStore
-from primrosestile.protocol.upkeep import UpkeepAnswer, UpkeepCalls
+from primrosestile.protocol.upkeep import MaintenanceAnswer, MaintenanceCalls
 from primrosestile.state.upkeep import VmState, Wave, WaveRecord, WorkerVm
 
 # The interval of polling waves while none is open, and while one is.
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        calls: UpkeepCalls,
+        calls: MaintenanceCalls,
         store: TransactionalStore,
         term: Term,
         fleet_state: FleetState,
@@ -290,19 +290,19 @@
             answer=answer.name.lower(),
             first=known_first,
         )
-        if answer is UpkeepAnswer.FENCE:
+        if answer is MaintenanceAnswer.FENCE:
             self._term.lost.set()
-        elif answer is UpkeepAnswer.BEGUN:
+        elif answer is MaintenanceAnswer.BEGUN:
             self._ordered[key] = _Ordered(vm.worker, read_clock())
             if known_first:
                 self._board.drop_worker(vm.worker, Proof.VM_ORDERED)
             self._wake()
-        elif answer is UpkeepAnswer.NOT_THERE:
+        elif answer is MaintenanceAnswer.NOT_IN_WAVE:
             record = self._records.find(wave)
             await self._records.write(wave, record.begun, (*record.over, vm.name))
         elif known_first:
             self._not_begun.add(key)
-            if answer is UpkeepAnswer.BUSY:
+            if answer is MaintenanceAnswer.BUSY:
                 await self._withdraw_order(wave, vm)
 
     async def _withdraw_order(self, wave: Wave, vm: WorkerVm) -> None:
--- a/src/primrosestile/coordination/work/vmlist.py
+++ b/src/primrosestile/coordination/work/vmlist.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection
 
 from primrosestile.clock import read_clock
-from primrosestile.protocol.upkeep import UpkeepCalls
+from primrosestile.protocol.upkeep import MaintenanceCalls
 from primrosestile.state.upkeep import VmState, WorkerVm
 
 # Longer than maintenance takes, in case a list omits VMs that are away.
@@ -17,7 +17,7 @@
         asked_at: When the latest list was requested.
     """
 
-    def __init__(self, calls: UpkeepCalls) -> None:
+    def __init__(self, calls: MaintenanceCalls) -> None:
         self.asked_at = 0.0
         self._calls = calls
         self._missing_since: dict[str, float] = {}
--- a/src/primrosestile/coordination/writing.py
+++ b/src/primrosestile/coordination/writing.py
@@ -8,7 +8,7 @@
 """
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.store import Entry, Store, Swap
+from primrosestile.protocol.store import Entry, Store, SwapResult
 
 # Each further try means that one more answer was lost; a store that loses four
 # in a row is down for our purposes, and the caller is told so.
@@ -21,7 +21,7 @@
 
 async def put_settled(
     store: Store, key: str, value: bytes, expected: int, lease: int = 0
-) -> Swap:
+) -> SwapResult:
     """Write if the key's revision is `expected`, and know whether it was made.
 
     LOST_WRITE_NOT_DISPROVED: a write whose answer was lost may still be on its way
@@ -43,17 +43,17 @@
         lost = True
         current = await _read_again(store, key)
         if current is not None and current.value == value:
-            return Swap(True, current.mod_revision)
+            return SwapResult(True, current.mod_revision)
         if _revision_of(current) != expected:
-            return Swap(False, _revision_of(current), current)
+            return SwapResult(False, _revision_of(current), current)
     raise Failure(ErrorKind.STORE_ANSWER_LOST, f"{key} could not be settled")
 
 
-def _recognise(swap: Swap, value: bytes) -> Swap:
+def _recognise(swap: SwapResult, value: bytes) -> SwapResult:
     """Take a swap that lost against one's own earlier try for done."""
     current = swap.current
     if not swap.done and current is not None and current.value == value:
-        return Swap(True, current.mod_revision)
+        return SwapResult(True, current.mod_revision)
     return swap
 
 
--- a/src/primrosestile/decisions/work/advice.py
+++ b/src/primrosestile/decisions/work/advice.py
@@ -22,7 +22,7 @@
 )
 from primrosestile.decisions.work.queue_order import find_entitled, rank_units
 from primrosestile.decisions.work.units import Permit, Unit
-from primrosestile.state.policy import Advised
+from primrosestile.state.policy import AdviceRules
 
 # A job's objective allows for one question about this many workers per step.
 WORKERS_PER_QUESTION = 30
@@ -106,7 +106,7 @@
     return f"{unit.job.job_id}.{unit.key.occurrence}.{unit.key.step}"
 
 
-def _expect(advised: Advised, count: int) -> float:
+def _expect(advised: AdviceRules, count: int) -> float:
     return advised.decide_seconds + count * advised.per_worker_seconds
 
 
--- a/src/primrosestile/decisions/work/evacuation.py
+++ b/src/primrosestile/decisions/work/evacuation.py
@@ -38,7 +38,7 @@
         unit = member.unit
         if member.state is not MemberState.UP or unit.abandoned:
             continue
-        if not unit.step.checkpoints or unit.step.lasting:
+        if not unit.step.checkpoints or unit.step.daemon:
             continue
         if durations.guess_left(member, now) > stays:
             yield member
--- a/src/primrosestile/decisions/work/evictions.py
+++ b/src/primrosestile/decisions/work/evictions.py
@@ -113,14 +113,14 @@
         """
         unit = search.unit
         step = unit.step
-        if step.most_per_worker:
+        if step.max_per_worker:
             return {
                 name: search.make_offer(room) for name, room in search.rooms.items()
             }
         key = (
             step.need,
-            step.filling,
-            step.lasting,
+            step.best_effort,
+            step.daemon,
             unit.job.queue.priority,
             unit.job.job_id in self._entitled,
         )
@@ -139,7 +139,7 @@
         key = (
             gainer.job.job_id in self._entitled,
             gainer.job.queue.priority,
-            gainer.step.lasting,
+            gainer.step.daemon,
         )
         return self._candidates.setdefault(key, {})
 
@@ -250,7 +250,7 @@
         if not lacking and count_allowed(unit, room):
             return _Offer(0.0, ())
         there = room.steps.get(unit.step_key, 0)
-        if step.most_per_worker and there >= step.most_per_worker:
+        if step.max_per_worker and there >= step.max_per_worker:
             return None
         need = step.need
         processor = room.processor
@@ -269,14 +269,14 @@
             if each.unit.abandoned or id(each.unit) in self._chosen:
                 continue
             freed = each.unit.step.need
-            if not each.unit.step.filling:
+            if not each.unit.step.best_effort:
                 processor += freed.processor * each.count
             memory += freed.memory * each.count
             accelerators += freed.accelerators * each.count
             cost += each.cost
             victims.append(each.unit)
             enough = memory >= need.memory and accelerators >= need.accelerators
-            if enough and (step.filling or processor >= need.processor):
+            if enough and (step.best_effort or processor >= need.processor):
                 return _Offer(cost, tuple(victims))
         return None
 
@@ -301,4 +301,4 @@
     for member in victim.members:
         room = rooms.get(member.worker)
         if room is not None and member.state is not MemberState.GONE:
-            room.take(step.need, step.filling, -1)
+            room.take(step.need, step.best_effort, -1)
--- a/src/primrosestile/decisions/work/fleet_state.py
+++ b/src/primrosestile/decisions/work/fleet_state.py
@@ -73,13 +73,13 @@
         """Apply a newer version; a job whose queue was removed keeps its settings."""
         self.policy = policy
         for job in self.jobs.values():
-            job.queue = policy.find_named(job.submission.queue) or job.queue
+            job.queue = policy.find_queue_by_name(job.submission.queue) or job.queue
 
     def admit(
         self, submission: Submission, progress: Progress | None, now: float, age: float
     ) -> Job:
         """Add a job, as it was accepted or with the progress recorded so far."""
-        queue = self.policy.find_named(submission.queue)
+        queue = self.policy.find_queue_by_name(submission.queue)
         queue = queue or _make_fallback_queue(submission.attempts)
         job = Job(submission, queue, now - age)
         self.jobs[job.job_id] = job
@@ -260,7 +260,7 @@
         unit = member.unit
         if checkpoint:
             unit.checkpoint = checkpoint
-        if kind is EndKind.DONE and not unit.step.lasting:
+        if kind is EndKind.DONE and not unit.step.daemon:
             self._note_done(unit)
         elif kind is EndKind.FAILED:
             self._note_failed(unit, member.worker)
@@ -294,7 +294,7 @@
             return
         unit.failed_here = True
         unit.failures += 1
-        if unit.step.lasting or unit.failures < unit.job.queue.attempts:
+        if unit.step.daemon or unit.failures < unit.job.queue.attempts:
             return
         self.finish(unit.job, JobState.FAILED)
 
--- a/src/primrosestile/decisions/work/held_room.py
+++ b/src/primrosestile/decisions/work/held_room.py
@@ -69,7 +69,7 @@
     for member in fleet_state.list_stopping():
         room = future_rooms.get(member.worker)
         if room is not None and not is_stop_late(member, now):
-            room.take(member.unit.step.need, member.unit.step.filling, -1)
+            room.take(member.unit.step.need, member.unit.step.best_effort, -1)
     return future_rooms
 
 
@@ -124,8 +124,8 @@
 
 
 def _give_room(unit: Unit, room: Room) -> None:
-    room.take(unit.step.need, unit.step.filling, -1)
+    room.take(unit.step.need, unit.step.best_effort, -1)
     if is_isolated(unit):
         room.closed = False
-    if unit.step.most_per_worker:
+    if unit.step.max_per_worker:
         room.steps[unit.step_key] -= 1
--- a/src/primrosestile/decisions/work/maintenance.py
+++ b/src/primrosestile/decisions/work/maintenance.py
@@ -130,12 +130,12 @@
 
 def _is_worth_waiting(worker: Worker) -> bool:
     """Whether something on a worker ends by itself; services never do."""
-    return any(not each.unit.step.lasting for each in worker.members.values())
+    return any(not each.unit.step.daemon for each in worker.members.values())
 
 
 def _is_saved(member: Member) -> bool:
     unit = member.unit
-    return unit.step.checkpoints and not unit.step.lasting and not unit.abandoned
+    return unit.step.checkpoints and not unit.step.daemon and not unit.abandoned
 
 
 def _list_saved(workers: Iterable[Worker]) -> tuple[Unit, ...]:
@@ -153,7 +153,7 @@
     """Whether its services stay within their away limits if the worker goes too."""
     for member in worker.members.values():
         step = member.unit.step
-        if not step.lasting or not step.away_limit:
+        if not step.daemon or not step.max_unavailable:
             continue
         job = member.unit.job
         others = list(job.list_step(member.unit.key.occurrence, member.unit.key.step))
@@ -161,7 +161,7 @@
             not _serves(unit) or _is_on(unit, taken) or _is_on(unit, {worker.name})
             for unit in others
         )
-        if away > step.away_limit:
+        if away > step.max_unavailable:
             return False
     return True
 
--- a/src/primrosestile/decisions/work/paces.py
+++ b/src/primrosestile/decisions/work/paces.py
@@ -58,7 +58,11 @@
 def _list_fillers(worker: Worker) -> Iterator[Member]:
     for member in worker.members.values():
         step = member.unit.step
-        if member.state is MemberState.UP and step.filling and not step.target_seconds:
+        if (
+            member.state is MemberState.UP
+            and step.best_effort
+            and not step.latency_target_seconds
+        ):
             yield member
 
 
@@ -68,9 +72,9 @@
     None where no service with a target runs, as there is nothing to slow down.
     """
     shares = [
-        member.usage / 1000 / member.unit.step.target_seconds
+        member.usage / 1000 / member.unit.step.latency_target_seconds
         for member in worker.members.values()
-        if member.state is MemberState.UP and member.unit.step.target_seconds
+        if member.state is MemberState.UP and member.unit.step.latency_target_seconds
     ]
     return max(shares, default=None)
 
--- a/src/primrosestile/decisions/work/placement.py
+++ b/src/primrosestile/decisions/work/placement.py
@@ -43,7 +43,7 @@
     """Room that is reserved for a unit until it can start."""
 
     need: Need
-    filling: bool
+    best_effort: bool
     count: int
     until: float
 
@@ -76,9 +76,9 @@
     suspected: bool = False
     closed: bool = False
 
-    def take(self, need: Need, filling: bool, count: int = 1) -> None:
+    def take(self, need: Need, best_effort: bool, count: int = 1) -> None:
         """Count tasks in; a negative count gives them back."""
-        if not filling:
+        if not best_effort:
             self.processor -= need.processor * count
         self.memory -= need.memory * count
         self.accelerators -= need.accelerators * count
@@ -98,10 +98,10 @@
             self.closed,
         )
 
-    def reserve(self, need: Need, filling: bool, count: int, until: float) -> None:
+    def reserve(self, need: Need, best_effort: bool, count: int, until: float) -> None:
         """Reserve room for a unit that can't start before a time."""
-        self.take(need, filling, count)
-        self.reservations.append(Reservation(need, filling, count, until))
+        self.take(need, best_effort, count)
+        self.reservations.append(Reservation(need, best_effort, count, until))
 
     def find_backfill_room(self, ends_at: float) -> "Room":
         """Return the room for work that ends before reserved room is needed."""
@@ -112,7 +112,7 @@
         backfill_room = self.copy()
         for each in self.reservations:
             if each.until >= ends_at:
-                backfill_room.take(each.need, each.filling, -each.count)
+                backfill_room.take(each.need, each.best_effort, -each.count)
         return backfill_room
 
 
@@ -120,7 +120,7 @@
 
 
 def count_tasks(
-    need: Need, filling: bool, processor: int, memory: int, accelerators: int
+    need: Need, best_effort: bool, processor: int, memory: int, accelerators: int
 ) -> int:
     """Return how many tasks with a need fit into what is free."""
     # Called some thousand times in a pass over 176 workers, so it builds no list and
@@ -131,7 +131,7 @@
     if need.memory:
         fitting = memory // need.memory
         most = fitting if fitting < most else most
-    if need.processor and not filling:
+    if need.processor and not best_effort:
         fitting = processor // need.processor
         most = fitting if fitting < most else most
     return most if most > 0 else 0
@@ -160,7 +160,7 @@
 def _count_bounded(worker: Worker) -> dict[tuple[str, int, int], int]:
     counts: dict[tuple[str, int, int], int] = {}
     for member in worker.members.values():
-        if member.unit.step.most_per_worker:
+        if member.unit.step.max_per_worker:
             key = member.unit.step_key
             counts[key] = counts.get(key, 0) + 1
     return counts
@@ -207,12 +207,12 @@
     """Return how many tasks of a unit a worker can take now."""
     step = unit.step
     fitting = count_tasks(
-        step.need, step.filling, room.processor, room.memory, room.accelerators
+        step.need, step.best_effort, room.processor, room.memory, room.accelerators
     )
-    if not step.most_per_worker or not fitting:
+    if not step.max_per_worker or not fitting:
         return fitting
     there = room.steps.get(unit.step_key, 0)
-    return max(0, min(fitting, step.most_per_worker - there))
+    return max(0, min(fitting, step.max_per_worker - there))
 
 
 def find_idle_pools(fleet_state: FleetState) -> set[str]:
@@ -349,12 +349,12 @@
         capacity = room.worker.entry.capacity
         fitting = count_tasks(
             step.need,
-            step.filling,
+            step.best_effort,
             capacity.processor,
             capacity.memory,
             capacity.accelerators,
         )
-        count += min(fitting, step.most_per_worker or fitting)
+        count += min(fitting, step.max_per_worker or fitting)
         if count >= wanted:
             return True
     return count >= wanted
@@ -405,11 +405,11 @@
 
 def take_room(unit: Unit, room: Room) -> None:
     """Take the room of one member of a unit."""
-    room.take(unit.step.need, unit.step.filling)
+    room.take(unit.step.need, unit.step.best_effort)
     room.occupied = True
     if unit.crashes:
         room.suspected = True
         room.closed = room.closed or is_isolated(unit)
-    if unit.step.most_per_worker:
+    if unit.step.max_per_worker:
         key = unit.step_key
         room.steps[key] = room.steps.get(key, 0) + 1
--- a/src/primrosestile/decisions/work/plan.py
+++ b/src/primrosestile/decisions/work/plan.py
@@ -258,7 +258,7 @@
         can be in time itself; with stops only in the last seconds before it is late,
         gangs would find too little room.
         """
-        if rank.urgent or rank.lasting:
+        if rank.urgent or rank.daemon:
             return not rank.useless
         return not rank.late
 
--- a/src/primrosestile/decisions/work/preemption.py
+++ b/src/primrosestile/decisions/work/preemption.py
@@ -102,7 +102,7 @@
         entitled: Whether the gainer is within its organisation's guarantee.
         seconds: Expected run time of the gainer.
     """
-    if entitled or gainer.step.lasting:
+    if entitled or gainer.step.daemon:
         return True
     if gainer.job.queue.priority > 0:
         return eviction.cost <= USUAL_CORE_SECONDS
@@ -113,13 +113,13 @@
 
 def may_stop(victim: Unit, gainer: Unit, entitled: Collection[str], now: float) -> bool:
     """Whether a unit may be stopped for another one at all."""
-    if victim.abandoned or victim.step.lasting or not victim.members:
+    if victim.abandoned or victim.step.daemon or not victim.members:
         return False
     if victim.job.job_id in entitled:
         return False
     if gainer.job.job_id in entitled:
         return True
-    if gainer.step.lasting:
+    if gainer.step.daemon:
         return victim.job.queue.priority > 0
     if victim.job.queue.priority <= gainer.job.queue.priority:
         return False
--- a/src/primrosestile/decisions/work/queue_order.py
+++ b/src/primrosestile/decisions/work/queue_order.py
@@ -42,7 +42,7 @@
     useless: bool
     priority: int
     slack: float
-    lasting: bool = False
+    daemon: bool = False
 
     @property
     def urgent(self) -> bool:
@@ -58,7 +58,7 @@
         """Return the sort key."""
         return (
             not self.entitled,
-            not self.lasting,
+            not self.daemon,
             self.useless,
             not self.urgent,
             self.late,
@@ -77,8 +77,8 @@
 def rank_unit(unit: Unit, now: float, entitled: bool, durations: Durations) -> Rank:
     """Return the rank of a waiting unit."""
     job = unit.job
-    if unit.step.lasting:
-        return Rank(entitled, False, job.queue.priority, 0.0, lasting=True)
+    if unit.step.daemon:
+        return Rank(entitled, False, job.queue.priority, 0.0, daemon=True)
     objective = find_objective_seconds(job, durations)
     began = job.accepted
     if job.submission.repeats.count and unit.ready_at is not None:
--- a/src/primrosestile/decisions/work/reservations.py
+++ b/src/primrosestile/decisions/work/reservations.py
@@ -43,7 +43,7 @@
     until = max(unit.reserved_until, now)
     for name in unit.reserved_workers:
         if name in rooms:
-            rooms[name].reserve(unit.step.need, unit.step.filling, 1, until)
+            rooms[name].reserve(unit.step.need, unit.step.best_effort, 1, until)
 
 
 def _is_reservation_valid(unit: Unit, rooms: Rooms, now: float) -> bool:
@@ -112,7 +112,7 @@
     known = len(slots)
     members = []
     for index, member in enumerate(room.worker.members.values()):
-        if member.state is MemberState.GONE or member.unit.step.lasting:
+        if member.state is MemberState.GONE or member.unit.step.daemon:
             continue
         ends_at = now + durations.guess_left(member, now)
         if ends_at < latest:
@@ -122,7 +122,7 @@
     trial = room.copy()
     for ends_at, _, member in sorted(members, key=_rank_end):
         step = member.unit.step
-        trial.take(step.need, step.filling, -1)
+        trial.take(step.need, step.best_effort, -1)
         fitting = count_allowed(unit, trial)
         slots += [(ends_at, name)] * max(0, fitting - known)
         known = max(known, fitting)
--- a/src/primrosestile/decisions/work/speeds.py
+++ b/src/primrosestile/decisions/work/speeds.py
@@ -117,7 +117,7 @@
         if speeds.is_slow(worker.name) or any(
             is_behind(member, durations.guess_unit(member.unit), now)
             for member in worker.members.values()
-            if now - member.up_at >= BEHIND_SECONDS and not member.unit.step.lasting
+            if now - member.up_at >= BEHIND_SECONDS and not member.unit.step.daemon
         ):
             slow.add(worker.name)
     return slow
--- a/src/primrosestile/decisions/work/stall_restarts.py
+++ b/src/primrosestile/decisions/work/stall_restarts.py
@@ -87,7 +87,7 @@
     """Whether a member's progress is meaningful, and its unit may be restarted."""
     unit = member.unit
     step = unit.step
-    if step.lasting or step.filling or unit.abandoned:
+    if step.daemon or step.best_effort or unit.abandoned:
         return False
     if unit.stall_restarts >= MAX_STALL_RESTARTS:
         return False
--- a/src/primrosestile/decisions/work/units.py
+++ b/src/primrosestile/decisions/work/units.py
@@ -390,7 +390,7 @@
 
     def _count(self, step: Step, sign: int) -> None:
         need = step.need
-        if not step.filling:
+        if not step.best_effort:
             self.processor += sign * need.processor
         self.memory += sign * need.memory
         self.accelerators += sign * need.accelerators
--- a/src/primrosestile/platform/advice.py
+++ b/src/primrosestile/platform/advice.py
@@ -8,12 +8,12 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.refusals import (
     Fault,
-    Refusals,
+    RejectionLog,
     Source,
     Unreadable,
     decode_json,
 )
-from primrosestile.protocol.advice import Advice, Allowed
+from primrosestile.protocol.advice import Advice, AllowedWorker
 from primrosestile.transport.connections import Connections, FailureKinds
 
 # Added to the expected answer time: the query may be queued behind another one.
@@ -37,11 +37,11 @@
         self,
         address: str,
         connections: Connections,
-        rejections: Refusals | None = None,
+        rejections: RejectionLog | None = None,
     ) -> None:
         self._address = address
         self._connections = connections
-        self._rejections = rejections or Refusals()
+        self._rejections = rejections or RejectionLog()
 
     async def ask(self, step: str, workers: tuple[str, ...], seconds: float) -> Advice:
         """Return those of some workers on which a step may run."""
@@ -77,7 +77,7 @@
         return Advice(tuple(allowed), complete=not rejected)
 
 
-def _read_row(row: Any, workers: Collection[str]) -> Allowed:
+def _read_row(row: Any, workers: Collection[str]) -> AllowedWorker:
     if not isinstance(row, list) or len(row) < 2:
         raise Unreadable(Fault.FORM, "row", row)
     worker, ticket = row[0], row[1]
@@ -85,4 +85,4 @@
         raise Unreadable(Fault.KEY, "row", row)
     if not isinstance(ticket, str) or not 0 < len(ticket) <= TICKET_LIMIT:
         raise Unreadable(Fault.FORM, "row", row)
-    return Allowed(worker, ticket)
+    return AllowedWorker(worker, ticket)
--- a/src/primrosestile/platform/callers.py
+++ b/src/primrosestile/platform/callers.py
@@ -116,14 +116,14 @@
         one_rack=step.same_rack,
         label=step.constraints,
         data_rack=step.affinity,
-        most_per_worker=step.anti_affinity,
+        max_per_worker=step.anti_affinity,
         checkpoints=step.checkpoint,
         speculative=step.speculative,
-        lasting=step.daemon,
+        daemon=step.daemon,
         image=step.image,
-        target_seconds=step.target_ms / 1000,
-        filling=step.fills,
-        away_limit=step.may_miss,
+        latency_target_seconds=step.target_ms / 1000,
+        best_effort=step.fills,
+        max_unavailable=step.may_miss,
     )
 
 
--- a/src/primrosestile/platform/looks.py
+++ b/src/primrosestile/platform/looks.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from primrosestile.platform.refusals import Fault, Unreadable, decode_json
-from primrosestile.protocol.fleet import EndedTask, RunningTask, WorkerLook
+from primrosestile.protocol.fleet import EndedTask, PollAnswer, RunningTask
 from primrosestile.state.workers import EndKind
 
 # Ten years. With a later reading every lease would appear to have expired.
@@ -40,7 +40,7 @@
     ended: list[Any]
 
 
-def read_look(body: bytes) -> tuple[WorkerLook, dict[str, Unreadable]]:
+def read_poll(body: bytes) -> tuple[PollAnswer, dict[str, Unreadable]]:
     """Decode a worker's answer; return it and the faults of its rejected rows.
 
     Raises:
@@ -54,15 +54,15 @@
             running.append(_read_running(row))
         except Unreadable as rejection:
             rejected[f"running {rejection.fault}"] = rejection
-    ended, forget_limit = _read_ends(answer.ended, rejected)
-    look = WorkerLook(
+    ended, acknowledge_limit = _read_ends(answer.ended, rejected)
+    poll = PollAnswer(
         answer.clock_ms / 1000,
         tuple(running),
         tuple(ended),
         complete=not rejected,
-        forget_limit=forget_limit,
+        acknowledge_limit=acknowledge_limit,
     )
-    return look, rejected
+    return poll, rejected
 
 
 def _read_running(row: Any) -> RunningTask:
--- a/src/primrosestile/platform/policy.py
+++ b/src/primrosestile/platform/policy.py
@@ -7,14 +7,14 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.refusals import (
     Fault,
-    Refusals,
+    RejectionLog,
     Source,
     Unreadable,
     decode_json,
 )
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import TransactionalStore
-from primrosestile.state.policy import Advised, CallLimits, Policy, Pool, Queue
+from primrosestile.state.policy import AdviceRules, CallLimits, Policy, Pool, Queue
 
 POLICY_KEY = "op/config"
 # A day: no timeout or objective is longer. A longer one can't be told from no deadline
@@ -137,10 +137,10 @@
     )
 
 
-def _make_advised(advice: _Advice | None) -> Advised | None:
+def _make_advised(advice: _Advice | None) -> AdviceRules | None:
     if advice is None:
         return None
-    return Advised(
+    return AdviceRules(
         advice.decide_ms / 1000, advice.period_ms / 1000, advice.valid_ms / 1000
     )
 
@@ -151,10 +151,10 @@
     key = POLICY_KEY
 
     def __init__(
-        self, store: TransactionalStore, rejections: Refusals | None = None
+        self, store: TransactionalStore, rejections: RejectionLog | None = None
     ) -> None:
         self._store = store
-        self._rejections = rejections or Refusals()
+        self._rejections = rejections or RejectionLog()
 
     async def read(self) -> Entry | None:
         """Return the current version; a stale read is not allowed."""
--- a/src/primrosestile/platform/refusals.py
+++ b/src/primrosestile/platform/refusals.py
@@ -102,7 +102,7 @@
     return None
 
 
-class Refusals:
+class RejectionLog:
     """Current rejections of one process; logs and counts them when they change."""
 
     def __init__(self, count: Counting = _count_nothing) -> None:
--- a/src/primrosestile/platform/settings.py
+++ b/src/primrosestile/platform/settings.py
@@ -12,7 +12,7 @@
 PATH_VARIABLE = "PRIMROSESTILE_CONFIG"
 
 
-class BadSettings(Exception):
+class SettingsError(Exception):
     """The file lacks a setting that the program needs, or one is invalid."""
 
 
@@ -39,19 +39,19 @@
             must get no new work; 0 where operators do not cordon.
     """
 
-    policy_applies: float
-    key_revoked: float
-    lease_longest: float
+    policy_apply_seconds: float
+    key_revoke_seconds: float
+    max_lease_seconds: float
     max_stop_seconds: float
     gang_wait_seconds: float
-    stop_grace: float
+    stop_grace_seconds: float
     leaving_notice_seconds: float
-    status_kept: float
+    status_retention_seconds: float
     remote_slowdown: float
     duty_seconds: float
     reclaim_seconds: float
     early_start_seconds: float
-    cordoned: float
+    cordon_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
     internal_ports: tuple[int, int]
     store_address: str
     advice_address: str
-    list_address: str
+    vm_list_address: str
     heartbeat: float
     processor: float
     link: float
@@ -92,11 +92,11 @@
     """
     path = os.environ.get(PATH_VARIABLE)
     if not path:
-        raise BadSettings(f"{PATH_VARIABLE} is not set; it names the settings file")
+        raise SettingsError(f"{PATH_VARIABLE} is not set; it names the settings file")
     try:
         text = Path(path).read_text()
     except OSError as error:
-        raise BadSettings(f"{path}: {error}; check that it is readable") from error
+        raise SettingsError(f"{path}: {error}; check that it is readable") from error
     return parse_settings(text)
 
 
@@ -110,9 +110,9 @@
     try:
         return _make_settings(values)
     except KeyError as error:
-        raise BadSettings(f"the line {error} is missing; add it") from error
+        raise SettingsError(f"the line {error} is missing; add it") from error
     except ValueError as error:
-        raise BadSettings(f"a value is not a number: {error}") from error
+        raise SettingsError(f"a value is not a number: {error}") from error
 
 
 def _split_lines(text: str) -> dict[str, str]:
@@ -135,7 +135,7 @@
         internal_ports=(int(first), int(last)),
         store_address=values["platform.address"],
         advice_address=values.get("advice", ""),
-        list_address=values.get("cloud.address", ""),
+        vm_list_address=values.get("cloud.address", ""),
         heartbeat=float(values.get("heartbeat_ms", "1500")) / 1000,
         # The share is of a core that is `cores` times as fast as a standard one.
         processor=float(values.get("limits.cpu_share", "1"))
@@ -153,17 +153,17 @@
         return float(values.get(f"bounds.{name}", default))
 
     return Bounds(
-        policy_applies=read_ms("config_apply_ms", 2000),
-        key_revoked=read_ms("revoke_ms", 5000),
-        lease_longest=read_ms("max_hold_ms", 10_000),
+        policy_apply_seconds=read_ms("config_apply_ms", 2000),
+        key_revoke_seconds=read_ms("revoke_ms", 5000),
+        max_lease_seconds=read_ms("max_hold_ms", 10_000),
         max_stop_seconds=read_ms("stop_timeout_ms", 400),
         gang_wait_seconds=read_ms("gang_timeout_ms", 3000),
-        stop_grace=read("grace_s", 6),
+        stop_grace_seconds=read("grace_s", 6),
         leaving_notice_seconds=read_ms("drain_ms", 2000),
-        status_kept=read("status_s", 120),
+        status_retention_seconds=read("status_s", 120),
         remote_slowdown=read("spread_factor", 3),
         duty_seconds=read_ms("lease_ms", 3000),
         reclaim_seconds=read_ms("reclaim_ms", 2900),
         early_start_seconds=read_ms("early_ms", 250),
-        cordoned=read_ms("evacuate_ms", 0),
+        cordon_seconds=read_ms("evacuate_ms", 0),
     )
--- a/src/primrosestile/platform/store.py
+++ b/src/primrosestile/platform/store.py
@@ -11,16 +11,16 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.refusals import (
     Fault,
-    Refusals,
+    RejectionLog,
     Source,
     Unreadable,
     decode_json,
 )
 from primrosestile.protocol.store import Change, Entry, Page
 from primrosestile.protocol.transactions import (
-    Committed,
+    CommitResult,
     Condition,
-    Heard,
+    WatchBatch,
     Write,
 )
 from primrosestile.transport.connections import Connections, FailureKinds, Reply
@@ -111,12 +111,12 @@
         address: str,
         connections: Connections,
         link: float,
-        rejections: Refusals | None = None,
+        rejections: RejectionLog | None = None,
     ) -> None:
         self._address = address
         self._connections = connections
         self._list_seconds = find_list_timeout(link)
-        self._rejections = rejections or Refusals()
+        self._rejections = rejections or RejectionLog()
 
     async def get(self, key: str, recent: bool = True) -> Entry | None:
         """Return the value of a key, or None; the current one if `recent`."""
@@ -152,7 +152,7 @@
         conditions: Sequence[Condition],
         writes: Sequence[Write] = (),
         removals: Sequence[str] = (),
-    ) -> Committed:
+    ) -> CommitResult:
         """Apply a change if all of its conditions hold."""
         body = {
             "precondition": [
@@ -165,12 +165,12 @@
         if reply.status == 404:
             raise Failure(ErrorKind.NOT_FOUND, "the lease of a write has expired")
         if reply.status == 200:
-            return Committed(done=True, revision=_decode(reply, _Done).revision)
+            return CommitResult(done=True, revision=_decode(reply, _Done).revision)
         # All items must be readable: a rejected one would count as a key that does not
         # exist, and the owner's own key as held by another process.
         items = _decode(reply, _NotDone).items
         standing = [item for item in items if item.revision and not item.deleted]
-        return Committed(False, found=self._make_entries(standing, "", {}))
+        return CommitResult(False, found=self._make_entries(standing, "", {}))
 
     async def grant_lease(self, seconds: float) -> int:
         """Return a new lease."""
@@ -184,7 +184,7 @@
         reply = await self._write("POST", path, {}, (200, 404))
         return reply.status == 200
 
-    async def watch_once(self, prefix: str, after: int, seconds: float) -> Heard:
+    async def watch_once(self, prefix: str, after: int, seconds: float) -> WatchBatch:
         """Return the changes after a revision, waiting until there is one."""
         path = (
             f"/v1/kv-watch?prefix={quote(prefix, safe='')}"
@@ -193,19 +193,19 @@
         timeout = seconds + WATCH_SLACK_SECONDS
         reply = await self._read(path, timeout, (200, 410))
         if reply.status == 410:
-            return Heard((), after, complete=False)
+            return WatchBatch((), after, complete=False)
         answer = _decode(reply, _Events)
         rejected: dict[str, Unreadable] = {}
         events = _read_items(answer.events, prefix, rejected)
         entries = self._make_entries(events, prefix, rejected)
         if len(events) < len(answer.events):
             # The caller lists again, which also covers the readable events.
-            return Heard((), after, complete=False)
+            return WatchBatch((), after, complete=False)
         changes = tuple(
             Change(event.key, event.revision, None if event.deleted else entry)
             for event, entry in zip(events, entries, strict=True)
         )
-        return Heard(changes, answer.store_revision)
+        return WatchBatch(changes, answer.store_revision)
 
     def _make_entries(
         self, items: Iterable[_Item], scope: str, rejected: dict[str, Unreadable]
--- a/src/primrosestile/platform/upkeep.py
+++ b/src/primrosestile/platform/upkeep.py
@@ -9,7 +9,7 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.refusals import (
     Fault,
-    Refusals,
+    RejectionLog,
     Source,
     Unreadable,
     decode_json,
@@ -21,7 +21,7 @@
     Write,
     list_entries,
 )
-from primrosestile.protocol.upkeep import UpkeepAnswer
+from primrosestile.protocol.upkeep import MaintenanceAnswer
 from primrosestile.state.upkeep import VmState, Wave, WorkerVm
 from primrosestile.transport.connections import Connections, FailureKinds, Reply
 
@@ -34,9 +34,9 @@
 
 _KINDS = FailureKinds(ErrorKind.LIST_UNAVAILABLE, ErrorKind.LIST_UNAVAILABLE)
 _REASONS = {
-    "fence": UpkeepAnswer.FENCE,
-    "busy": UpkeepAnswer.BUSY,
-    "wave": UpkeepAnswer.NOT_THERE,
+    "fence": MaintenanceAnswer.FENCE,
+    "busy": MaintenanceAnswer.BUSY,
+    "wave": MaintenanceAnswer.NOT_IN_WAVE,
 }
 _STATES = {each.value: each for each in VmState}
 # A day. A wave of a whole fleet takes minutes.
@@ -80,7 +80,7 @@
     reason: str
 
 
-class PlatformUpkeep:
+class PlatformMaintenance:
     """Implements `protocol.maintenance.MaintenanceCalls` for one process."""
 
     def __init__(
@@ -89,13 +89,13 @@
         process: str,
         store: TransactionalStore,
         connections: Connections,
-        rejections: Refusals | None = None,
+        rejections: RejectionLog | None = None,
     ) -> None:
         self._address = address
         self._process = process
         self._store = store
         self._connections = connections
-        self._rejections = rejections or Refusals()
+        self._rejections = rejections or RejectionLog()
 
     async def list_vms(self) -> tuple[WorkerVm, ...]:
         """Return the VMs of all workers."""
@@ -128,7 +128,7 @@
         self._rejections.settle(Source.WAVE, "", rejected)
         return tuple(waves)
 
-    async def begin(self, vm: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def begin(self, vm: str, wave: int, fence: int) -> MaintenanceAnswer:
         """Begin one VM's maintenance; everything that runs on it ends at once."""
         headers = {
             "Content-Type": "application/json",
@@ -138,13 +138,13 @@
         body = msgspec.json.encode({"machine": vm, "wave": wave})
         reply = await self._call("POST", "/v1/machine-upkeep", body, headers)
         if reply.status == 200:
-            return UpkeepAnswer.BEGUN
+            return MaintenanceAnswer.BEGUN
         if reply.status == 400:
-            return UpkeepAnswer.NOT_THERE
+            return MaintenanceAnswer.NOT_IN_WAVE
         if reply.status == 409:
             return self._read_reason(reply)
         if reply.status == 429:
-            return UpkeepAnswer.THROTTLED
+            return MaintenanceAnswer.THROTTLED
         # The order may have taken effect.
         raise Failure(ErrorKind.LIST_UNAVAILABLE, f"answered {reply.status}")
 
@@ -157,7 +157,7 @@
         )
         return done.done
 
-    def _read_reason(self, reply: Reply) -> UpkeepAnswer:
+    def _read_reason(self, reply: Reply) -> MaintenanceAnswer:
         """Return why an order was refused; raise if the reason can't be read.
 
         If an unknown reason counted as "busy", maintenance that has begun would be
--- a/src/primrosestile/platform/workers.py
+++ b/src/primrosestile/platform/workers.py
@@ -7,20 +7,20 @@
 
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.entries import WORKERS_PREFIX, read_worker
-from primrosestile.platform.looks import Clock, read_look
+from primrosestile.platform.looks import Clock, read_poll
 from primrosestile.platform.refusals import (
     Fault,
-    Refusals,
+    RejectionLog,
     Source,
     Unreadable,
     decode_json,
 )
 from primrosestile.protocol.fleet import (
     OrderAnswer,
+    PollAnswer,
     Refusal,
     StartOrder,
     WorkerListing,
-    WorkerLook,
 )
 from primrosestile.protocol.transactions import TransactionalStore, list_entries
 from primrosestile.state.workers import WorkerEntry
@@ -32,14 +32,14 @@
 # Operators cordon a failure domain by a key under this prefix, until they remove it.
 CORDONS_PREFIX = "op/evacuate/"
 # Added to the requested wait time of a poll.
-LOOK_SLACK_SECONDS = 0.6
+POLL_SLACK_SECONDS = 0.6
 
 _KINDS = FailureKinds(ErrorKind.NO_TARGET, ErrorKind.WORKER_UNREACHABLE)
 # Reasons in the body of a refused order; other refusals have a status of their own.
 _REASONS = {
     "fence": Refusal.FENCE,
-    "old": Refusal.OLD,
-    "late": Refusal.LATE,
+    "old": Refusal.STALE_RUN,
+    "late": Refusal.EXPIRED,
     "room": Refusal.ROOM,
     "ticket": Refusal.TICKET,
 }
@@ -57,35 +57,35 @@
     """Implements `protocol.fleet.WorkerCalls`."""
 
     def __init__(
-        self, connections: Connections, rejections: Refusals | None = None
+        self, connections: Connections, rejections: RejectionLog | None = None
     ) -> None:
         self._connections = connections
-        self._rejections = rejections or Refusals()
+        self._rejections = rejections or RejectionLog()
 
-    async def look(
+    async def poll(
         self,
         entry: WorkerEntry,
         fence: int,
         acknowledged: int,
         until: float | None,
         wait: float,
-    ) -> WorkerLook | Refusal:
+    ) -> PollAnswer | Refusal:
         """Extend the lease, acknowledge ends up to a number, wait for a new end."""
         body: dict[str, Any] = {"fence": fence, "last_seen": acknowledged}
         if until is not None:
             body["until_ms"] = int(until * 1000)
         if wait > 0:
             body["wait_ms"] = int(wait * 1000)
-        timeout = wait + LOOK_SLACK_SECONDS
+        timeout = wait + POLL_SLACK_SECONDS
         reply = await self._call(entry, "/v1/hold", body, timeout)
         if reply.status != 200:
             return self._read_refusal(entry, reply)
         try:
-            look, rejected = read_look(reply.body)
+            poll, rejected = read_poll(reply.body)
         except Unreadable as rejection:
             raise self._reject(entry, rejection) from rejection
         self._rejections.settle(Source.WORKER_ANSWER, entry.worker, rejected)
-        return look
+        return poll
 
     async def start(
         self, entry: WorkerEntry, fence: int, order: StartOrder
@@ -148,7 +148,7 @@
         started a second time elsewhere.
         """
         if reply.status == 421:
-            return Refusal.OTHER_LIFE
+            return Refusal.OTHER_INCARNATION
         if reply.status in (429, 503):
             return Refusal.UNHEALTHY
         if reply.status == 400:
@@ -182,7 +182,7 @@
         self,
         store: TransactionalStore,
         find_pools: Callable[[], Collection[str] | None] | None = None,
-        rejections: Refusals | None = None,
+        rejections: RejectionLog | None = None,
         cordons: bool = False,
     ) -> None:
         """Read workers' entries from a store.
@@ -198,7 +198,7 @@
         self._store = store
         self._cordons = cordons
         self._find_pools = find_pools
-        self._rejections = rejections or Refusals()
+        self._rejections = rejections or RejectionLog()
 
     async def list_workers(self) -> WorkerListing:
         """Return the workers' current entries; a stale read is not allowed."""
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -17,14 +17,14 @@
 from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.platform.advice import PlatformAdvice
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
-from primrosestile.platform.refusals import Fault, Refusals, Source
+from primrosestile.platform.rejections import Fault, RejectionLog, Source
 from primrosestile.platform.settings import (
-    BadSettings,
     PlatformSettings,
+    SettingsError,
     read_settings,
 )
 from primrosestile.platform.store import PlatformStore
-from primrosestile.platform.upkeep import PlatformUpkeep
+from primrosestile.platform.upkeep import PlatformMaintenance
 from primrosestile.platform.workers import PlatformWorkerList, PlatformWorkers
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
@@ -60,16 +60,16 @@
         self.settings = settings
         bounds = settings.bounds
         self._metrics = metrics
-        self._refusals = Refusals(self._count_unreadable)
+        self._rejections = RejectionLog(self._count_unreadable)
         self._connections = Connections()
         self._store = PlatformStore(
-            settings.store_address, self._connections, settings.link, self._refusals
+            settings.store_address, self._connections, settings.link, self._rejections
         )
         self._policies = PolicyWatch(
-            PlatformPolicies(self._store, self._refusals),
+            PlatformPolicies(self._store, self._rejections),
             min(
-                bounds.policy_applies * POLICY_AGE_SHARE_OF_APPLIES,
-                bounds.key_revoked * POLICY_AGE_SHARE_OF_REVOKED,
+                bounds.policy_apply_seconds * POLICY_AGE_SHARE_OF_APPLIES,
+                bounds.key_revoke_seconds * POLICY_AGE_SHARE_OF_REVOKED,
             ),
         )
         self._calls = CallerCalls(
@@ -145,26 +145,26 @@
     async def _run_term(self, term: Term) -> None:
         scheduler = Scheduler(
             self._store,
-            PlatformWorkers(self._connections, self._refusals),
+            PlatformWorkers(self._connections, self._rejections),
             PlatformWorkerList(
                 self._store,
                 self._policies.find_pools,
-                self._refusals,
-                cordons=self.settings.bounds.cordoned > 0,
+                self._rejections,
+                cordons=self.settings.bounds.cordon_seconds > 0,
             ),
             self._policies,
             term,
-            self.settings.bounds.status_kept,
-            self.settings.bounds.lease_longest,
+            self.settings.bounds.status_retention_seconds,
+            self.settings.bounds.max_lease_seconds,
             PlatformAdvice(
-                self.settings.advice_address, self._connections, self._refusals
+                self.settings.advice_address, self._connections, self._rejections
             ),
-            PlatformUpkeep(
-                self.settings.list_address,
+            PlatformMaintenance(
+                self.settings.vm_list_address,
                 self.settings.name,
                 self._store,
                 self._connections,
-                self._refusals,
+                self._rejections,
             ),
         )
         self._scheduler = scheduler
@@ -193,7 +193,7 @@
         """Hand over, serve what still comes, then close."""
         _log.info("ending")
         self._calls.leaving = True
-        serve_on = min(SERVE_ON_SECONDS, self.settings.bounds.stop_grace / 3)
+        serve_on = min(SERVE_ON_SECONDS, self.settings.bounds.stop_grace_seconds / 3)
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._hand_over(serve_on))
             await asyncio.sleep(serve_on)
@@ -231,7 +231,7 @@
     """Run the process until it is told to end."""
     try:
         settings = read_settings()
-    except BadSettings as error:
+    except SettingsError as error:
         print(f"settings: {error}", file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
     metrics = Metrics("node")
--- a/src/primrosestile/protocol/advice.py
+++ b/src/primrosestile/protocol/advice.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class AllowedWorker:
     """One worker on which a step may run.
 
     Attributes:
@@ -25,7 +25,7 @@
             from the answer may still be allowed.
     """
 
-    allowed: tuple[Allowed, ...]
+    allowed: tuple[AllowedWorker, ...]
     complete: bool = True
 
 
--- a/src/primrosestile/protocol/fleet.py
+++ b/src/primrosestile/protocol/fleet.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerLook:
+class PollAnswer:
     """A worker's answer to a poll, which also extends its lease.
 
     Attributes:
@@ -56,7 +56,7 @@
     running: tuple[RunningTask, ...]
     ended: tuple[EndedTask, ...]
     complete: bool = True
-    forget_limit: int | None = None
+    acknowledge_limit: int | None = None
 
 
 class Refusal(StrEnum):
@@ -67,11 +67,11 @@
     """
 
     FENCE = "fence"
-    OLD = "old"
-    LATE = "late"
+    STALE_RUN = "old"
+    EXPIRED = "late"
     ROOM = "room"
     TICKET = "ticket"
-    OTHER_LIFE = "other life"
+    OTHER_INCARNATION = "other life"
     UNHEALTHY = "unhealthy"
     MALFORMED = "malformed"
 
@@ -109,14 +109,14 @@
             effect seconds later), NO_TARGET when nothing was sent.
     """
 
-    async def look(
+    async def poll(
         self,
         entry: WorkerEntry,
         fence: int,
         acknowledged: int,
         until: float | None,
         wait: float,
-    ) -> WorkerLook | Refusal:
+    ) -> PollAnswer | Refusal:
         """Extend the lease, acknowledge ends up to a number, wait for a new end."""
         ...
 
--- a/src/primrosestile/protocol/store.py
+++ b/src/primrosestile/protocol/store.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Swap:
+class SwapResult:
     """The outcome of one compare-and-swap.
 
     Attributes:
@@ -80,11 +80,13 @@
         """Return entries under a prefix whose keys sort after `after`."""
         ...
 
-    async def put(self, key: str, value: bytes, expected: int, lease: int = 0) -> Swap:
+    async def put(
+        self, key: str, value: bytes, expected: int, lease: int = 0
+    ) -> SwapResult:
         """Write if the key's mod revision is `expected`; 0 means absent."""
         ...
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Remove if the key's mod revision is `expected`."""
         ...
 
--- a/src/primrosestile/protocol/transactions.py
+++ b/src/primrosestile/protocol/transactions.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Committed:
+class CommitResult:
     """The outcome of a change.
 
     Attributes:
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class WatchBatch:
     """The changes that one watch call returned.
 
     Attributes:
@@ -92,7 +92,7 @@
         conditions: Sequence[Condition],
         writes: Sequence[Write] = (),
         removals: Sequence[str] = (),
-    ) -> Committed:
+    ) -> CommitResult:
         """Apply a change if all of its conditions hold."""
         ...
 
@@ -104,7 +104,7 @@
         """Renew a lease; return False when it has expired."""
         ...
 
-    async def watch_once(self, prefix: str, after: int, seconds: float) -> Heard:
+    async def watch_once(self, prefix: str, after: int, seconds: float) -> WatchBatch:
         """Return the changes after a revision, waiting until there is one."""
         ...
 
--- a/src/primrosestile/protocol/upkeep.py
+++ b/src/primrosestile/protocol/upkeep.py
@@ -6,7 +6,7 @@
 from primrosestile.state.upkeep import Wave, WorkerVm
 
 
-class UpkeepAnswer(Enum):
+class MaintenanceAnswer(Enum):
     """The platform's answer to an order to begin one VM's maintenance.
 
     `BEGUN`: it has begun, or is already over. `FENCE`: a newer owner has sent an order.
@@ -18,11 +18,11 @@
     BEGUN = 1
     FENCE = 2
     BUSY = 3
-    NOT_THERE = 4
+    NOT_IN_WAVE = 4
     THROTTLED = 5
 
 
-class UpkeepCalls(Protocol):
+class MaintenanceCalls(Protocol):
     """The list of VMs, the waves, and maintenance orders.
 
     Raises, from each call:
@@ -38,7 +38,7 @@
         """Return the waves that operators have ordered."""
         ...
 
-    async def begin(self, vm: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def begin(self, vm: str, wave: int, fence: int) -> MaintenanceAnswer:
         """Begin one VM's maintenance; everything that runs on it ends at once."""
         ...
 
--- a/src/primrosestile/state/policy.py
+++ b/src/primrosestile/state/policy.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Advised:
+class AdviceRules:
     """Rules of a queue whose permitted workers only the advice service knows.
 
     Attributes:
@@ -42,7 +42,7 @@
     objective_seconds: float
     timeout_seconds: float
     public: bool = False
-    advised: Advised | None = None
+    advised: AdviceRules | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
                 best = queue
         return best
 
-    def find_named(self, name: str) -> Queue | None:
+    def find_queue_by_name(self, name: str) -> Queue | None:
         """Return a queue by its name."""
         for queue in self.queues:
             if queue.name == name:
--- a/src/primrosestile/state/upkeep.py
+++ b/src/primrosestile/state/upkeep.py
@@ -11,7 +11,7 @@
 
     UP = "up"
     MOVING = "moving"
-    UPKEEP = "upkeep"
+    MAINTENANCE = "upkeep"
     DOWN = "down"
 
 
--- a/src/primrosestile/state/work.py
+++ b/src/primrosestile/state/work.py
@@ -75,14 +75,14 @@
     one_rack: bool = False
     label: str = ""
     data_rack: str = ""
-    most_per_worker: int = 0
+    max_per_worker: int = 0
     checkpoints: bool = False
     speculative: bool = False
-    lasting: bool = False
+    daemon: bool = False
     image: str = ""
-    target_seconds: float = 0.0
-    filling: bool = False
-    away_limit: int = 0
+    latency_target_seconds: float = 0.0
+    best_effort: bool = False
+    max_unavailable: int = 0
 
 
 class Repeats(msgspec.Struct, frozen=True, array_like=True):
@@ -232,7 +232,7 @@
     address: str = ""
 
 
-class GivenUpRecord(msgspec.Struct, frozen=True, array_like=True):
+class ResignationRecord(msgspec.Struct, frozen=True, array_like=True):
     """How many owners in a row have resigned, with none sound for long since."""
 
     count: int
@@ -241,7 +241,7 @@
 _encoder = msgspec.msgpack.Encoder()
 _submissions = msgspec.msgpack.Decoder(Submission)
 _progresses = msgspec.msgpack.Decoder(Progress)
-_resignations = msgspec.msgpack.Decoder(GivenUpRecord)
+_resignations = msgspec.msgpack.Decoder(ResignationRecord)
 _owners = msgspec.msgpack.Decoder(OwnerRecord)
 _ended = msgspec.msgpack.Decoder(EndedRecord)
 
@@ -261,7 +261,7 @@
     return _progresses.decode(value)
 
 
-def decode_given_up(value: bytes) -> int:
+def decode_resignations(value: bytes) -> int:
     """Return how many owners in a row have resigned."""
     return _resignations.decode(value).count
 
@@ -276,7 +276,7 @@
     return _ended.decode(value)
 
 
-def is_of_job(progress: Progress, submission: Submission) -> bool:
+def matches_submission(progress: Progress, submission: Submission) -> bool:
     """Whether every unit of a progress record exists in a submission."""
     steps = submission.steps
     return all(
--- a/src/primrosestile/transport/store.py
+++ b/src/primrosestile/transport/store.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.store import Change, Entry, Page, Swap
+from primrosestile.protocol.store import Change, Entry, Page, SwapResult
 from primrosestile.transport import gateway
 from primrosestile.transport.connections import Connections, FailureKinds, Reply
 from primrosestile.transport.watch import read_lines
@@ -76,7 +76,9 @@
         entries = tuple(gateway.read_entry(kv) for kv in answer.kvs)
         return Page(entries, int(answer.header.revision), answer.more)
 
-    async def put(self, key: str, value: bytes, expected: int, lease: int = 0) -> Swap:
+    async def put(
+        self, key: str, value: bytes, expected: int, lease: int = 0
+    ) -> SwapResult:
         """Write if the key's mod revision is `expected`; 0 means absent.
 
         Raises:
@@ -88,11 +90,11 @@
         put = gateway.PutRequest(key.encode(), value, str(lease))
         return await self._swap(key, expected, gateway.Operation(request_put=put))
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Remove if the key's mod revision is `expected`."""
         if not expected:
             # The condition "absent" would hold and remove nothing.
-            return Swap(False, 0, await self.get(key))
+            return SwapResult(False, 0, await self.get(key))
         removal = gateway.DeleteRequest(key.encode())
         operation = gateway.Operation(request_delete_range=removal)
         return await self._swap(key, expected, operation)
@@ -183,7 +185,7 @@
 
     async def _swap(
         self, key: str, expected: int, operation: gateway.Operation
-    ) -> Swap:
+    ) -> SwapResult:
         read = gateway.Operation(request_range=gateway.RangeRequest(key.encode()))
         request = gateway.TxnRequest(
             (gateway.Compare(key.encode(), str(expected), "MOD"),),
@@ -193,8 +195,8 @@
         answer = await self._write(gateway.TXN_PATH, request, gateway.TxnResponse)
         revision = int(answer.header.revision)
         if answer.succeeded:
-            return Swap(True, revision)
-        return Swap(False, revision, find_current(answer))
+            return SwapResult(True, revision)
+        return SwapResult(False, revision, find_current(answer))
 
     def _choose(self) -> Sequence[str]:
         # The address that answered last goes first, so that one dead address
--- a/src/primrosestile_standin/fleet_http.py
+++ b/src/primrosestile_standin/fleet_http.py
@@ -24,7 +24,11 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 WorkerHandler = Callable[[WorkerEntry, Any], Awaitable[web.StreamResponse]]
 
-_STATUSES = {Refusal.OTHER_LIFE: 421, Refusal.UNHEALTHY: 503, Refusal.MALFORMED: 400}
+_STATUSES = {
+    Refusal.OTHER_INCARNATION: 421,
+    Refusal.UNHEALTHY: 503,
+    Refusal.MALFORMED: 400,
+}
 
 
 def answer(value: Any, status: int = 200) -> web.Response:
@@ -206,25 +210,25 @@
 
     async def _hold(self, entry: WorkerEntry, body: Any) -> web.Response:
         until = body.get("until_ms")
-        look = await self._calls.look(
+        poll = await self._calls.poll(
             entry,
             body["fence"],
             body["last_seen"],
             None if until is None else until / 1000,
             body.get("wait_ms", 0) / 1000,
         )
-        if isinstance(look, Refusal):
-            return self._refuse(look)
+        if isinstance(poll, Refusal):
+            return self._refuse(poll)
         running = [
             [row.task, row.run, row.checkpoint, row.percent, row.usage]
-            for row in look.running
+            for row in poll.running
         ]
         ended = [
             [row.number, row.task, row.run, row.kind, row.checkpoint]
-            for row in look.ended
+            for row in poll.ended
         ]
         return answer(
-            {"clock_ms": look.clock * 1000, "running": running, "ended": ended}
+            {"clock_ms": poll.clock * 1000, "running": running, "ended": ended}
         )
 
     async def _start(self, entry: WorkerEntry, body: Any) -> web.Response:
--- a/src/primrosestile_standin/fleetadvice.py
+++ b/src/primrosestile_standin/fleetadvice.py
@@ -4,7 +4,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.advice import Advice, Allowed
+from primrosestile.protocol.advice import Advice, AllowedWorker
 
 
 class FleetAdvice:
@@ -43,7 +43,9 @@
         ]
         for worker in good:
             self._issued[step, worker] = read_clock()
-        return Advice(tuple(Allowed(worker, f"{step}@{worker}") for worker in good))
+        return Advice(
+            tuple(AllowedWorker(worker, f"{step}@{worker}") for worker in good)
+        )
 
     def is_good(self, task: str, worker: str, ticket: str) -> bool:
         """Whether a worker takes a start with a ticket."""
--- a/src/primrosestile_standin/fleetcalls.py
+++ b/src/primrosestile_standin/fleetcalls.py
@@ -10,9 +10,9 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.fleet import (
     OrderAnswer,
+    PollAnswer,
     Refusal,
     StartOrder,
-    WorkerLook,
 )
 from primrosestile.state.workers import WorkerEntry
 from primrosestile_standin.fleetworker import (
@@ -39,23 +39,23 @@
         self.lost_of_ten = 0
         self._carried = 0
 
-    async def look(
+    async def poll(
         self,
         entry: WorkerEntry,
         fence: int,
         seen: int,
         until: float | None,
         wait: float,
-    ) -> WorkerLook | Refusal:
+    ) -> PollAnswer | Refusal:
         """Extend the lease, forget ends up to `seen`, wait for another end."""
         worker = await self._reach(entry)
         if worker is None:
-            return Refusal.OTHER_LIFE
+            return Refusal.OTHER_INCARNATION
         if worker.faults.deaf_to_looks:
             await asyncio.sleep(TIMEOUT_SECONDS)
             raise Failure(ErrorKind.WORKER_UNREACHABLE, "no answer to a look")
         worker.sweep()
-        refusal = worker.take_look(fence, seen, until)
+        refusal = worker.take_poll(fence, seen, until)
         if refusal is not None:
             return refusal
         if wait:
@@ -67,9 +67,9 @@
         worker.sweep()
         if self._is_cut(worker):
             raise Failure(ErrorKind.WORKER_UNREACHABLE, "cut")
-        look = worker.make_look()
-        await self._carry(len(look.running) + len(look.ended))
-        return look
+        poll = worker.make_poll()
+        await self._carry(len(poll.running) + len(poll.ended))
+        return poll
 
     async def start(
         self, entry: WorkerEntry, fence: int, order: StartOrder
@@ -98,7 +98,7 @@
     ) -> OrderAnswer:
         worker = await self._reach(entry)
         if worker is None:
-            return OrderAnswer(refusal=Refusal.OTHER_LIFE)
+            return OrderAnswer(refusal=Refusal.OTHER_INCARNATION)
         if worker.faults.late_orders:
             delay = worker.faults.late_orders.pop(0)
             asyncio.get_running_loop().call_later(delay, carry_out, worker)
--- a/src/primrosestile_standin/fleetstore.py
+++ b/src/primrosestile_standin/fleetstore.py
@@ -16,7 +16,12 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.store import BYTES_PER_MEGABIT, find_list_timeout
 from primrosestile.protocol.store import Change, Entry, Page
-from primrosestile.protocol.transactions import Committed, Condition, Heard, Write
+from primrosestile.protocol.transactions import (
+    CommitResult,
+    Condition,
+    WatchBatch,
+    Write,
+)
 from primrosestile_standin.link import ANSWER_BYTES, ROW_BYTES, VALUE_FACTOR, Link
 
 PAGE_ITEMS = 500
@@ -132,14 +137,14 @@
         conditions: Sequence[Condition],
         writes: Sequence[Write],
         removals: Sequence[str],
-    ) -> Committed:
+    ) -> CommitResult:
         """Make a change if its conditions hold."""
         found = tuple(
             self._entries[each.key] for each in conditions if each.key in self._entries
         )
         standing = {entry.key: entry.mod_revision for entry in found}
         if any(standing.get(each.key, 0) != each.revision for each in conditions):
-            return Committed(done=False, found=found)
+            return CommitResult(done=False, found=found)
         if any(write.lease and write.lease not in self._leases for write in writes):
             raise Failure(ErrorKind.NOT_FOUND, "no such lease")
         self.revision += 1
@@ -153,7 +158,7 @@
             if self._entries.pop(key, None) is not None:
                 self._history.append(Change(key, self.revision, None))
         self._notify()
-        return Committed(done=True, revision=self.revision)
+        return CommitResult(done=True, revision=self.revision)
 
     def grant(self, seconds: float) -> int:
         """Return a new lease."""
@@ -184,16 +189,16 @@
             size += len(entries[-1].value)
         return Page(tuple(entries), self.revision)
 
-    def find_changes(self, prefix: str, after: int) -> Heard:
+    def find_changes(self, prefix: str, after: int) -> WatchBatch:
         """Return what changed after a revision."""
         if after < self._forgotten:
-            return Heard((), after, complete=False)
+            return WatchBatch((), after, complete=False)
         changes = tuple(
             change
             for change in self._history
             if change.revision > after and change.key.startswith(prefix)
         )
-        return Heard(changes, self.revision)
+        return WatchBatch(changes, self.revision)
 
     async def wait_for_change(self) -> None:
         """Return once something has changed."""
@@ -262,7 +267,7 @@
         conditions: Sequence[Condition],
         writes: Sequence[Write] = (),
         removals: Sequence[str] = (),
-    ) -> Committed:
+    ) -> CommitResult:
         """Make a change if all of its conditions hold."""
         await self._enter()
         await self._carry(sum(map(_weigh_write, writes)))
@@ -308,7 +313,7 @@
         await self._carry(ANSWER_BYTES, ErrorKind.STORE_ANSWER_LOST)
         return alive
 
-    async def watch_once(self, prefix: str, after: int, seconds: float) -> Heard:
+    async def watch_once(self, prefix: str, after: int, seconds: float) -> WatchBatch:
         """Return changes after a revision, as soon as there is one."""
         self._store.calls_by_key[prefix] += 1
         await self._enter()
@@ -316,7 +321,9 @@
         await self._carry(_weigh([change.entry for change in heard.changes]))
         return heard
 
-    async def _wait_for_changes(self, prefix: str, after: int, seconds: float) -> Heard:
+    async def _wait_for_changes(
+        self, prefix: str, after: int, seconds: float
+    ) -> WatchBatch:
         until = read_clock() + seconds
         while True:
             self._check()
@@ -327,7 +334,7 @@
             if heard.changes and not self._store.faults.deaf_watches:
                 return heard
             if read_clock() >= until:
-                return Heard((), after)
+                return WatchBatch((), after)
             await self._wait_a_little(until)
 
     async def _wait_a_little(self, until: float) -> None:
--- a/src/primrosestile_standin/fleetvms.py
+++ b/src/primrosestile_standin/fleetvms.py
@@ -9,7 +9,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.upkeep import UpkeepAnswer
+from primrosestile.protocol.upkeep import MaintenanceAnswer
 from primrosestile.state.upkeep import VmState, Wave, WorkerVm
 
 UPKEEP_SECONDS = 2.0
@@ -55,7 +55,7 @@
         await asyncio.sleep(0.004)
         return tuple(self.waves)
 
-    async def begin(self, vm: str, wave: int, fence: int) -> UpkeepAnswer:
+    async def begin(self, vm: str, wave: int, fence: int) -> MaintenanceAnswer:
         """Begin one VM's upkeep."""
         await asyncio.sleep(0.004)
         answer = self._take(vm, wave, fence)
@@ -64,26 +64,26 @@
             raise Failure(ErrorKind.LIST_UNAVAILABLE, "lost")
         return answer
 
-    def _take(self, name: str, wave: int, fence: int) -> UpkeepAnswer:
+    def _take(self, name: str, wave: int, fence: int) -> MaintenanceAnswer:
         vm = self._vms.get(name)
         if vm is None:
-            return UpkeepAnswer.NOT_THERE
+            return MaintenanceAnswer.NOT_IN_WAVE
         if fence < self._fences.get(name, 0):
-            return UpkeepAnswer.FENCE
+            return MaintenanceAnswer.FENCE
         self._fences[name] = fence
         self.orders.append((read_clock(), name, fence))
         if (wave, name) in self._done:
-            return UpkeepAnswer.BEGUN
+            return MaintenanceAnswer.BEGUN
         if vm.state is not VmState.UP:
-            return UpkeepAnswer.BUSY
+            return MaintenanceAnswer.BUSY
         self._done.add((wave, name))
         self._end(vm.worker)
-        self._vms[name] = WorkerVm(name, vm.pool, VmState.UPKEEP, "")
+        self._vms[name] = WorkerVm(name, vm.pool, VmState.MAINTENANCE, "")
         away = [each for each in self._vms.values() if each.state is not VmState.UP]
         self.most_away = max(self.most_away, len(away))
         loop = asyncio.get_running_loop()
         loop.call_later(self.seconds, self._return, name, f"{vm.worker}+")
-        return UpkeepAnswer.BEGUN
+        return MaintenanceAnswer.BEGUN
 
     def has_begun(self, name: str, wave: int) -> bool:
         """Whether a VM's upkeep has begun in a wave."""
--- a/src/primrosestile_standin/fleetworker.py
+++ b/src/primrosestile_standin/fleetworker.py
@@ -12,10 +12,10 @@
 from primrosestile.clock import read_clock
 from primrosestile.protocol.fleet import (
     EndedTask,
+    PollAnswer,
     Refusal,
     RunningTask,
     StartOrder,
-    WorkerLook,
 )
 from primrosestile.state.work import Need
 from primrosestile.state.workers import EndKind, WorkerEntry
@@ -121,9 +121,9 @@
         """Kill everything once its lease has run out."""
         if self.runs and self.read_clock() >= self.until:
             for run in list(self.runs.values()):
-                self.end(run, EndKind.LAPSED)
+                self.end(run, EndKind.LEASE_LAPSED)
 
-    def take_look(self, fence: int, seen: int, until: float | None) -> Refusal | None:
+    def take_poll(self, fence: int, seen: int, until: float | None) -> Refusal | None:
         """Take in a look's fence, lease and forgotten ends."""
         if fence < self.fence:
             return Refusal.FENCE
@@ -142,7 +142,7 @@
             longest = self.read_clock() + LEASE_LONGEST_SECONDS
             self.until = max(self.until, min(until, longest))
 
-    def make_look(self) -> WorkerLook:
+    def make_poll(self) -> PollAnswer:
         """Return what runs and what has ended."""
         running = tuple(
             RunningTask(
@@ -154,7 +154,7 @@
             )
             for run in self.runs.values()
         )
-        return WorkerLook(self.tell_clock(), running, self._tell_ends())
+        return PollAnswer(self.tell_clock(), running, self._tell_ends())
 
     def _tell_ends(self) -> tuple[EndedTask, ...]:
         ended = list(self._ended)
@@ -185,7 +185,7 @@
         self.fence = fence
         run = self.runs.get(task)
         if run is None:
-            return Refusal.OLD
+            return Refusal.STALE_RUN
         run.pace = percent
         return None
 
@@ -218,9 +218,9 @@
             return None
         if order.run <= self._barred.get(order.task, 0) or present is not None:
             self._extend(order.until)
-            return Refusal.OLD
+            return Refusal.STALE_RUN
         if order.until <= self.read_clock():
-            return Refusal.LATE
+            return Refusal.EXPIRED
         script = self._fleet.find_script(order.task)
         if script.ticketed and not self._fleet.advice.is_good(
             order.task, self.entry.worker, order.ticket
@@ -264,7 +264,7 @@
 
     def wait_alone(self, run: _Run) -> None:
         """Let a member wait for the others of its gang."""
-        self._set_timer(run, GANG_WAIT_SECONDS, EndKind.ALONE)
+        self._set_timer(run, GANG_WAIT_SECONDS, EndKind.GANG_INCOMPLETE)
 
     def _set_timer(self, run: _Run, seconds: float, kind: EndKind) -> None:
         if run.timer is not None:
@@ -421,11 +421,11 @@
         if same:
             end = _WellEnd(worker, run, worker.lapses, len(self.starts))
             self._well_ends.setdefault(task, []).append(end)
-        self._end_gang(task, run, EndKind.DONE if same else EndKind.BROKEN)
+        self._end_gang(task, run, EndKind.DONE if same else EndKind.GANG_BROKEN)
 
     def break_gang(self, task: str, run: int) -> None:
         """End the other members of a gang of which one is gone without a word."""
-        self._end_gang(task, run, EndKind.BROKEN)
+        self._end_gang(task, run, EndKind.GANG_BROKEN)
 
     def _end_gang(self, task: str, run: int, kind: EndKind) -> None:
         step = task.rpartition(".")[0]
--- a/src/primrosestile_standin/store.py
+++ b/src/primrosestile_standin/store.py
@@ -15,7 +15,7 @@
 from sortedcontainers import SortedDict
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.store import Change, Entry, Page, Swap
+from primrosestile.protocol.store import Change, Entry, Page, SwapResult
 from primrosestile_standin.faults import StoreFaults
 
 VALUE_LIMIT_BYTES = 1_000_000
@@ -72,7 +72,9 @@
         entries = tuple(self._entries[key] for key in found[:limit])
         return Page(entries, self.revision, more=len(found) > limit)
 
-    async def put(self, key: str, value: bytes, expected: int, lease: int = 0) -> Swap:
+    async def put(
+        self, key: str, value: bytes, expected: int, lease: int = 0
+    ) -> SwapResult:
         """Write if the key's mod revision is `expected`; 0 means absent.
 
         Raises:
@@ -86,23 +88,23 @@
             raise Failure(ErrorKind.NOT_FOUND, f"lease {lease} has lapsed")
         current = self._entries.get(key)
         if (current.mod_revision if current else 0) != expected:
-            return self._answer(Swap(False, self.revision, current))
+            return self._answer(SwapResult(False, self.revision, current))
         self.revision += 1
         created = current.create_revision if current else self.revision
         entry = Entry(key, value, created, self.revision, lease)
         self._attach(entry, current)
         self._entries[key] = entry
         self._publish([Change(key, self.revision, entry)])
-        return self._answer(Swap(True, self.revision))
+        return self._answer(SwapResult(True, self.revision))
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Remove if the key's mod revision is `expected`."""
         await self._enter("txn")
         current = self._entries.get(key)
         if current is None or current.mod_revision != expected:
-            return self._answer(Swap(False, self.revision, current))
+            return self._answer(SwapResult(False, self.revision, current))
         self._remove([key])
-        return self._answer(Swap(True, self.revision))
+        return self._answer(SwapResult(True, self.revision))
 
     async def grant_lease(self, seconds: int) -> int:
         """Return the id of a new lease that lapses after `seconds`."""
@@ -178,7 +180,7 @@
         if self.faults.down:
             raise Failure(ErrorKind.STORE_UNAVAILABLE, "the store is down")
 
-    def _answer(self, swap: Swap) -> Swap:
+    def _answer(self, swap: SwapResult) -> SwapResult:
         self._hear()
         return swap
 
--- a/src/primrosestile_standin/store_http.py
+++ b/src/primrosestile_standin/store_http.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.store import Change, Page, Swap
+from primrosestile.protocol.store import Change, Page, SwapResult
 from primrosestile.transport import gateway
 from primrosestile.transport.wire import decode_json, encode_json
 from primrosestile_standin.listener import cut_connection, is_silent
@@ -177,7 +177,7 @@
     await response.write(encode_json(gateway.WatchResponse(result)) + b"\n")
 
 
-def write_swap(swap: Swap) -> gateway.TxnResponse:
+def write_swap(swap: SwapResult) -> gateway.TxnResponse:
     """Return the form of a compare-and-swap's outcome."""
     header = gateway.Header(str(swap.revision))
     if swap.done:
