--- a/features/doubles/foreign.py
+++ b/features/doubles/foreign.py
@@ -7,7 +7,7 @@
 
 from features.doubles.fleetworld import PlatformEntry, make_address, make_policy
 
-from primrosestile.platform.looks import read_poll
+from primrosestile.platform.polls import read_poll
 from primrosestile.protocol.fleet import PollAnswer, Refusal
 from primrosestile.protocol.store import Entry, Page
 from primrosestile.transport.connections import Reply
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -30,16 +30,16 @@
 
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.advice import PlatformAdvice
+from primrosestile.platform.maintenance import PlatformMaintenance
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
-from primrosestile.platform.refusals import RejectionLog
+from primrosestile.platform.rejections import RejectionLog
 from primrosestile.platform.store import PlatformStore
-from primrosestile.platform.upkeep import PlatformMaintenance
 from primrosestile.platform.workers import PlatformWorkerList, PlatformWorkers
 from primrosestile.programs.node import METRICS_PORT
 from primrosestile.protocol.fleet import PollAnswer, RunningTask, StartOrder
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import Condition, Write, list_entries
-from primrosestile.state.upkeep import VmState
+from primrosestile.state.maintenance import VmState
 from primrosestile.state.workers import EndKind
 
 
--- a/features/steps/foreign_fuzzing_steps.py
+++ b/features/steps/foreign_fuzzing_steps.py
@@ -24,8 +24,8 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.advice import PlatformAdvice
 from primrosestile.platform.entries import read_worker
+from primrosestile.platform.maintenance import PlatformMaintenance
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
-from primrosestile.platform.upkeep import PlatformMaintenance
 from primrosestile.platform.workers import PlatformWorkerList, PlatformWorkers
 from primrosestile.protocol.fleet import PollAnswer
 from primrosestile.protocol.store import Entry
--- a/features/steps/pages_steps.py
+++ b/features/steps/pages_steps.py
@@ -10,7 +10,7 @@
 from behave import then
 from tools import errorpage, settingspage
 
-from primrosestile.platform.refusals import Source
+from primrosestile.platform.rejections import Source
 from primrosestile.programs import cli
 from primrosestile.state.process import ProcessSettings
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -17,7 +17,7 @@
 from primrosestile.platform.callers import read_submission
 from primrosestile.platform.entries import read_worker
 from primrosestile.platform.policy import POLICY_KEY, read_policy
-from primrosestile.platform.refusals import Fault, Unreadable
+from primrosestile.platform.rejections import Fault, Unreadable
 from primrosestile.platform.settings import SettingsError, parse_settings
 from primrosestile.platform.store import PlatformStore
 from primrosestile.platform.workers import PlatformWorkers
--- a/features/steps/platform_upkeep_steps.py
+++ b/features/steps/platform_upkeep_steps.py
@@ -10,9 +10,9 @@
 from platform_steps import find_free_port
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.platform.upkeep import PlatformMaintenance
-from primrosestile.protocol.upkeep import MaintenanceAnswer
-from primrosestile.state.upkeep import VmState, WorkerVm
+from primrosestile.platform.maintenance import PlatformMaintenance
+from primrosestile.protocol.maintenance import MaintenanceAnswer
+from primrosestile.state.maintenance import VmState, WorkerVm
 from primrosestile.transport.connections import Connections
 from primrosestile_standin.fleetstore import FleetStore
 
--- a/features/steps/work_review_steps.py
+++ b/features/steps/work_review_steps.py
@@ -11,8 +11,8 @@
 from primrosestile.coordination.work.keys import WISHES_PREFIX, make_job_key
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.policy import POLICY_KEY
-from primrosestile.protocol.upkeep import MaintenanceAnswer
-from primrosestile.state.upkeep import Wave
+from primrosestile.protocol.maintenance import MaintenanceAnswer
+from primrosestile.state.maintenance import Wave
 
 ANSWER_SECONDS = 0.005
 
--- a/features/steps/work_upkeep_steps.py
+++ b/features/steps/work_upkeep_steps.py
@@ -14,8 +14,8 @@
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.keys import UPKEEP_PREFIX
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.upkeep import MaintenanceAnswer
-from primrosestile.state.upkeep import VmState, Wave, WaveRecord, WorkerVm
+from primrosestile.protocol.maintenance import MaintenanceAnswer
+from primrosestile.state.maintenance import VmState, Wave, WaveRecord, WorkerVm
 
 LIST_SECONDS = 0.1
 SLOW_ORDER_SECONDS = 0.5
--- a/src/primrosestile/coordination/work/scheduling.py
+++ b/src/primrosestile/coordination/work/scheduling.py
@@ -52,8 +52,8 @@
 from primrosestile.errors import Failure
 from primrosestile.protocol.advice import AdviceCalls
 from primrosestile.protocol.fleet import WorkerCalls, WorkerList
+from primrosestile.protocol.maintenance import MaintenanceCalls
 from primrosestile.protocol.transactions import TransactionalStore
-from primrosestile.protocol.upkeep import MaintenanceCalls
 from primrosestile.state.workers import EndKind, WorkerEntry
 
 # The longest time without a pass: some changes come with time and without an event,
--- a/src/primrosestile/coordination/work/upkeep.py
+++ b/src/primrosestile/coordination/work/upkeep.py
@@ -25,9 +25,9 @@
 from primrosestile.decisions.work.maintenance import may_go, plan_maintenance
 from primrosestile.decisions.work.units import Proof
 from primrosestile.errors import Failure
+from primrosestile.protocol.maintenance import MaintenanceAnswer, MaintenanceCalls
 from primrosestile.protocol.transactions import TransactionalStore
-from primrosestile.protocol.upkeep import MaintenanceAnswer, MaintenanceCalls
-from primrosestile.state.upkeep import VmState, Wave, WaveRecord, WorkerVm
+from primrosestile.state.maintenance import VmState, Wave, WaveRecord, WorkerVm
 
 # The interval of polling waves while none is open, and while one is.
 IDLE_SECONDS = 2.0
--- a/src/primrosestile/coordination/work/vmlist.py
+++ b/src/primrosestile/coordination/work/vmlist.py
@@ -3,8 +3,8 @@
 from collections.abc import Collection
 
 from primrosestile.clock import read_clock
-from primrosestile.protocol.upkeep import MaintenanceCalls
-from primrosestile.state.upkeep import VmState, WorkerVm
+from primrosestile.protocol.maintenance import MaintenanceCalls
+from primrosestile.state.maintenance import VmState, WorkerVm
 
 # Longer than maintenance takes, in case a list omits VMs that are away.
 MISSING_SECONDS = 5.0
--- a/src/primrosestile/coordination/work/waverecords.py
+++ b/src/primrosestile/coordination/work/waverecords.py
@@ -15,7 +15,7 @@
 from primrosestile.coordination.work.term import LEASE_SECONDS, Term
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import Condition, TransactionalStore, Write
-from primrosestile.state.upkeep import Wave, WaveRecord
+from primrosestile.state.maintenance import Wave, WaveRecord
 from primrosestile.state.work import encode_record
 
 # How often the record is written for the time passed alone. The next owner counts on
--- a/src/primrosestile/decisions/work/maintenance.py
+++ b/src/primrosestile/decisions/work/maintenance.py
@@ -15,7 +15,7 @@
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.preemption import find_cost
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
-from primrosestile.state.upkeep import VmState, Wave, WorkerVm
+from primrosestile.state.maintenance import VmState, Wave, WorkerVm
 
 # One VM's maintenance takes 2 s; its worker is listed and acquired again 1.5 s later.
 ROUND_SECONDS = 3.5
--- a/src/primrosestile/platform/advice.py
+++ b/src/primrosestile/platform/advice.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.platform.refusals import (
+from primrosestile.platform.rejections import (
     Fault,
     RejectionLog,
     Source,
--- a/src/primrosestile/platform/entries.py
+++ b/src/primrosestile/platform/entries.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from primrosestile.platform.refusals import Fault, Unreadable, decode_json
+from primrosestile.platform.rejections import Fault, Unreadable, decode_json
 from primrosestile.protocol.store import Entry
 from primrosestile.state.work import Need
 from primrosestile.state.workers import WorkerEntry
--- a/src/primrosestile/platform/upkeep.py
+++ b/src/primrosestile/platform/maintenance.py
@@ -7,13 +7,14 @@
 
 from primrosestile.coordination.work.keys import OWNER_KEY
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.platform.refusals import (
+from primrosestile.platform.rejections import (
     Fault,
     RejectionLog,
     Source,
     Unreadable,
     decode_json,
 )
+from primrosestile.protocol.maintenance import MaintenanceAnswer
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import (
     Condition,
@@ -21,8 +22,7 @@
     Write,
     list_entries,
 )
-from primrosestile.protocol.upkeep import MaintenanceAnswer
-from primrosestile.state.upkeep import VmState, Wave, WorkerVm
+from primrosestile.state.maintenance import VmState, Wave, WorkerVm
 from primrosestile.transport.connections import Connections, FailureKinds, Reply
 
 WAVES_PREFIX = "op/wave/"
--- a/src/primrosestile/platform/policy.py
+++ b/src/primrosestile/platform/policy.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.platform.refusals import (
+from primrosestile.platform.rejections import (
     Fault,
     RejectionLog,
     Source,
--- a/src/primrosestile/platform/looks.py
+++ b/src/primrosestile/platform/polls.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from primrosestile.platform.refusals import Fault, Unreadable, decode_json
+from primrosestile.platform.rejections import Fault, Unreadable, decode_json
 from primrosestile.protocol.fleet import EndedTask, PollAnswer, RunningTask
 from primrosestile.state.workers import EndKind
 
--- a/src/primrosestile/platform/store.py
+++ b/src/primrosestile/platform/store.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.platform.refusals import (
+from primrosestile.platform.rejections import (
     Fault,
     RejectionLog,
     Source,
--- a/src/primrosestile/platform/workers.py
+++ b/src/primrosestile/platform/workers.py
@@ -7,8 +7,8 @@
 
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.entries import WORKERS_PREFIX, read_worker
-from primrosestile.platform.looks import Clock, read_poll
-from primrosestile.platform.refusals import (
+from primrosestile.platform.polls import Clock, read_poll
+from primrosestile.platform.rejections import (
     Fault,
     RejectionLog,
     Source,
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -16,6 +16,7 @@
 from primrosestile.coordination.work.term import Term
 from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.platform.advice import PlatformAdvice
+from primrosestile.platform.maintenance import PlatformMaintenance
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
 from primrosestile.platform.rejections import Fault, RejectionLog, Source
 from primrosestile.platform.settings import (
@@ -24,7 +25,6 @@
     read_settings,
 )
 from primrosestile.platform.store import PlatformStore
-from primrosestile.platform.upkeep import PlatformMaintenance
 from primrosestile.platform.workers import PlatformWorkerList, PlatformWorkers
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
--- a/src/primrosestile/protocol/upkeep.py
+++ b/src/primrosestile/protocol/maintenance.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import Protocol
 
-from primrosestile.state.upkeep import Wave, WorkerVm
+from primrosestile.state.maintenance import Wave, WorkerVm
 
 
 class MaintenanceAnswer(Enum):
--- a/src/primrosestile_standin/fleetvms.py
+++ b/src/primrosestile_standin/fleetvms.py
@@ -9,8 +9,8 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.protocol.upkeep import MaintenanceAnswer
-from primrosestile.state.upkeep import VmState, Wave, WorkerVm
+from primrosestile.protocol.maintenance import MaintenanceAnswer
+from primrosestile.state.maintenance import VmState, Wave, WorkerVm
 
 UPKEEP_SECONDS = 2.0
 
