--- a/features/doubles/fleetworld.py
+++ b/features/doubles/fleetworld.py
@@ -14,7 +14,7 @@
 from primrosestile.coordination.work.keys import OWNER_KEY
 from primrosestile.coordination.work.policywatch import PolicyWatch
 from primrosestile.coordination.work.scheduling import Scheduler, run_scheduler
-from primrosestile.coordination.work.submitting import Submitting
+from primrosestile.coordination.work.submitting import JobSubmissions
 from primrosestile.coordination.work.term import Term
 from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.errors import Failure
@@ -109,7 +109,7 @@
 
     name: str
     policies: PolicyWatch
-    submitting: Submitting
+    submitting: JobSubmissions
     election: Election
     calls: WorkerCalls
     task: asyncio.Task[Any] | None = None
@@ -187,7 +187,7 @@
         process = Process(
             name=name,
             policies=policies,
-            submitting=Submitting(store, policies, POLICY_KEY),
+            submitting=JobSubmissions(store, policies, POLICY_KEY),
             election=Election(
                 store, name, run_term, read_steady, find_election_delay(processor, mbps)
             ),
--- a/features/fuzzing/clocks.py
+++ b/features/fuzzing/clocks.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from primrosestile.coordination.work.workerclock import (
-    Reading,
+    ClockReading,
     WorkerClock,
 )
 
@@ -122,7 +122,7 @@
         told = worker.read_clock(now) + call.wrong
         now += call.back
         if not call.lost:
-            clock.note(Reading(max(0.0, told), sent_at, now))
+            clock.note(ClockReading(max(0.0, told), sent_at, now))
     return clock, worker, now, asked_at
 
 
--- a/features/steps/work_reading_steps.py
+++ b/features/steps/work_reading_steps.py
@@ -16,17 +16,17 @@
 from primrosestile import clock
 from primrosestile.clock import read_clock, read_wall_clock
 from primrosestile.coordination.work.keys import (
+    CALLER_REQUESTS_PREFIX,
     CANCELS_PREFIX,
     ENDED_PREFIX,
     JOBS_PREFIX,
     PROGRESS_PREFIX,
     WAITING_PREFIX,
-    WISHES_PREFIX,
     make_job_key,
     make_progress_key,
     make_waiting_key,
 )
-from primrosestile.coordination.work.reading import Reader
+from primrosestile.coordination.work.reading import PrefixReader
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.callers import read_submission
 from primrosestile.protocol.store import Entry, Page
@@ -99,7 +99,7 @@
 @when("the open jobs are read while the store is silent to the reader")
 def step_read_silent(context: Any) -> None:
     world: FleetWorld = context.world
-    context.reader = Reader(world.store.connect("reader"))
+    context.reader = PrefixReader(world.store.connect("reader"))
     world.store.faults.silent.add("reader")
     context.read_failed = False
 
@@ -126,7 +126,7 @@
 
 @when("the open jobs are read over a link of {megabits:g} Mbit/s")
 def step_read_slowly(context: Any, megabits: float) -> None:
-    context.reader = Reader(context.world.store.connect("reader"))
+    context.reader = PrefixReader(context.world.store.connect("reader"))
     set_link(context.world, "reader", megabits)
     context.read = context.world.run(read_jobs(context))
 
@@ -337,7 +337,7 @@
 
     def read_all(prefix: str, after: str) -> Page:
         page = read_page(prefix, after)
-        if not prefix.startswith(WISHES_PREFIX):
+        if not prefix.startswith(CALLER_REQUESTS_PREFIX):
             return page
         for change in world.store.find_changes(JOBS_PREFIX, 0).changes:
             if change.entry is not None:
--- a/features/steps/work_review_steps.py
+++ b/features/steps/work_review_steps.py
@@ -8,7 +8,7 @@
 from work_steps import list_running, make_id
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.work.keys import WISHES_PREFIX, make_job_key
+from primrosestile.coordination.work.keys import CALLER_REQUESTS_PREFIX, make_job_key
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.policy import POLICY_KEY
 from primrosestile.protocol.maintenance import MaintenanceAnswer
@@ -84,7 +84,7 @@
 
     async def list_late(prefix: str, after: str = "") -> Any:
         page = await read_list(prefix, after)
-        if prefix == WISHES_PREFIX:
+        if prefix == CALLER_REQUESTS_PREFIX:
             await asyncio.sleep(ANSWER_SECONDS)
         return page
 
--- a/features/steps/work_slow_owner_steps.py
+++ b/features/steps/work_slow_owner_steps.py
@@ -9,7 +9,10 @@
 from work_steps import list_running, make_id, read_steps, write_script
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.work.keys import GIVEN_UP_KEY, WISHES_PREFIX
+from primrosestile.coordination.work.keys import (
+    CALLER_REQUESTS_PREFIX,
+    RESIGNATIONS_KEY,
+)
 from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.decisions.work.owner_health import (
     OwnerHealth,
@@ -70,7 +73,7 @@
 def step_unread(context: Any) -> None:
     async def fail() -> None:
         name = take_owner(context).name
-        context.world.store.faults.unread[name] = WISHES_PREFIX
+        context.world.store.faults.unread[name] = CALLER_REQUESTS_PREFIX
 
     context.world.run(fail())
 
@@ -145,7 +148,7 @@
         note(worker, order)
 
     async def play() -> None:
-        faults.unread[take_owner(context).name] = WISHES_PREFIX
+        faults.unread[take_owner(context).name] = CALLER_REQUESTS_PREFIX
         fleet.note_start = note_start
         await asyncio.sleep(after)
         assert list_running(context.world, job)
@@ -175,7 +178,7 @@
         for name in world.processes:
             if name != owner.name:
                 await world.kill(name)
-        world.store.faults.unread[owner.name] = WISHES_PREFIX
+        world.store.faults.unread[owner.name] = CALLER_REQUESTS_PREFIX
         context.owned = [
             await sample_owner(world) is not None for _ in range(int(seconds * 10))
         ]
@@ -233,7 +236,7 @@
         faults.slow_seconds = SLOW_STORE_SECONDS
     else:
         assert trouble == "unable to read wishes for anyone", trouble
-        faults.unread.update(dict.fromkeys(world.processes, WISHES_PREFIX))
+        faults.unread.update(dict.fromkeys(world.processes, CALLER_REQUESTS_PREFIX))
 
 
 @then("the ownership changed at most {most:d} times")
@@ -286,7 +289,7 @@
 @given("nobody can read the count of owners that gave up")
 def step_unreadable(context: Any) -> None:
     async def put() -> None:
-        context.world.store.put(GIVEN_UP_KEY, b"\xff")
+        context.world.store.put(RESIGNATIONS_KEY, b"\xff")
 
     context.world.run(put())
 
@@ -295,7 +298,7 @@
 def step_gone(context: Any, seconds: float) -> None:
     async def look() -> None:
         await asyncio.sleep(seconds)
-        assert context.world.store.read(GIVEN_UP_KEY) is None
+        assert context.world.store.read(RESIGNATIONS_KEY) is None
 
     context.world.run(look())
 
--- a/features/steps/work_upkeep_steps.py
+++ b/features/steps/work_upkeep_steps.py
@@ -12,7 +12,7 @@
 from work_steps import hand_in, list_running, step_owner_dies
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.work.keys import UPKEEP_PREFIX
+from primrosestile.coordination.work.keys import MAINTENANCE_PREFIX
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.maintenance import MaintenanceAnswer
 from primrosestile.state.maintenance import VmState, Wave, WaveRecord, WorkerVm
@@ -109,7 +109,7 @@
     async def commit_unheard(conditions: Any, writes: Any = (), **named: Any) -> Any:
         done = await commit(conditions, writes, **named)
         for write in writes:
-            if write.key.startswith(UPKEEP_PREFIX):
+            if write.key.startswith(MAINTENANCE_PREFIX):
                 record = msgspec.msgpack.decode(write.value, type=WaveRecord)
                 recorded.append(len(record.begun))
                 if recorded == [1, 0]:
--- a/src/primrosestile/coordination/work/caring.py
+++ b/src/primrosestile/coordination/work/caring.py
@@ -13,7 +13,7 @@
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.links import LEASE_GRACE_SECONDS
 from primrosestile.coordination.work.term import Term
-from primrosestile.coordination.work.workerclock import Reading, WorkerClock
+from primrosestile.coordination.work.workerclock import ClockReading, WorkerClock
 from primrosestile.errors import Failure
 from primrosestile.protocol.fleet import Refusal, WorkerCalls, WorkerList
 from primrosestile.state.workers import WorkerEntry
@@ -82,4 +82,4 @@
         if answer is Refusal.FENCE:
             self._term.lost.set()
         elif not isinstance(answer, Refusal):
-            clock.note(Reading(answer.clock, sent_at, read_clock()))
+            clock.note(ClockReading(answer.clock, sent_at, read_clock()))
--- a/src/primrosestile/coordination/work/election.py
+++ b/src/primrosestile/coordination/work/election.py
@@ -11,7 +11,7 @@
 import msgspec
 import structlog
 
-from primrosestile.coordination.work.keys import GIVEN_UP_KEY, OWNER_KEY
+from primrosestile.coordination.work.keys import OWNER_KEY, RESIGNATIONS_KEY
 from primrosestile.coordination.work.renewals import Renewals
 from primrosestile.coordination.work.term import (
     LEASE_SECONDS,
@@ -59,10 +59,10 @@
         process: str,
         run_term: Callable[[Term], Awaitable[None]],
         read_clock: Callable[[], float] = read_suspending_clock,
-        stand_back: float = 0.0,
+        election_delay: float = 0.0,
         address: str = "",
     ) -> None:
-        self._stand_back = stand_back
+        self._election_delay = election_delay
         self._store = store
         self._record = OwnerRecord(process, address)
         self._run_term = run_term
@@ -157,7 +157,7 @@
         """Return how long other candidates go first, in seconds."""
         if self._read_clock() < self._paused_until:
             return RESIGNED_DELAY_SECONDS
-        return self._stand_back
+        return self._election_delay
 
     def _note_end(self, term: Term, began: float) -> None:
         """Start a pause in which this process runs last, if it resigned."""
@@ -244,7 +244,7 @@
             record = encode_record(
                 ResignationRecord((term.earlier_resignations or 0) + 1)
             )
-            writes.append(Write(GIVEN_UP_KEY, record))
+            writes.append(Write(RESIGNATIONS_KEY, record))
         try:
             await self._store.commit(
                 [Condition(OWNER_KEY, term.fence)], writes, [OWNER_KEY]
--- a/src/primrosestile/coordination/work/intake.py
+++ b/src/primrosestile/coordination/work/intake.py
@@ -23,13 +23,13 @@
 from primrosestile.clock import read_clock, read_wall_clock
 from primrosestile.coordination.work.ended import EndedJobs
 from primrosestile.coordination.work.keys import (
+    CALLER_REQUESTS_PREFIX,
     CANCELS_PREFIX,
     JOBS_PREFIX,
     LATEST_REQUEST_KEY,
     PROGRESS_PREFIX,
-    WISHES_PREFIX,
 )
-from primrosestile.coordination.work.reading import Reader
+from primrosestile.coordination.work.reading import PrefixReader
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.errors import Failure
@@ -80,7 +80,7 @@
         wake: Callable[[], None],
     ) -> None:
         self._store = store
-        self._reader = Reader(store)
+        self._reader = PrefixReader(store)
         self._board = fleet_state
         self._recorder = recorder
         self._ended = ended
@@ -261,7 +261,7 @@
         reported_before = self._revision_at
         asked_at = read_clock()
         batch = await self._store.watch_once(
-            WISHES_PREFIX, self._revision, WATCH_SECONDS
+            CALLER_REQUESTS_PREFIX, self._revision, WATCH_SECONDS
         )
         if not batch.complete:
             await self._read_again(tasks, lost=True)
@@ -310,7 +310,7 @@
         since = self._jobs_listed_at
         quick = self._jobs_read_seconds <= QUICK_READ_SECONDS and not self._failures
         if quick:
-            entries, revision = await list_entries(self._store, WISHES_PREFIX)
+            entries, revision = await list_entries(self._store, CALLER_REQUESTS_PREFIX)
             self._jobs_listed_at = asked_at
             self._jobs_read_seconds = read_clock() - asked_at
         else:
--- a/src/primrosestile/coordination/work/keys.py
+++ b/src/primrosestile/coordination/work/keys.py
@@ -7,7 +7,7 @@
 from primrosestile.protocol.transactions import Write
 
 # Written by the process that accepts a job, or a cancellation; never changed.
-WISHES_PREFIX = "work/"
+CALLER_REQUESTS_PREFIX = "work/"
 JOBS_PREFIX = "work/jobs/"
 CANCELS_PREFIX = "work/cancels/"
 # The id of the newest job or cancellation, written in the same change. By its revision
@@ -24,13 +24,13 @@
 # The owner's statistics of run times and worker speeds.
 STATISTICS_KEY = "learned"
 # The progress of maintenance waves, written by the owner.
-UPKEEP_PREFIX = "upkeep/"
+MAINTENANCE_PREFIX = "upkeep/"
 # Written by a process that becomes owner, under its lease; the revision of that write
 # is the fence that workers are shown.
 OWNER_KEY = "owner"
 # How many owners in a row resigned. It does not begin with the owner's key,
 # since the watch on that key covers it as a prefix and must not report this.
-GIVEN_UP_KEY = "given-up"
+RESIGNATIONS_KEY = "given-up"
 
 
 def make_latest_request(job_id: str) -> Write:
@@ -65,7 +65,7 @@
 
 def make_wave_key(number: int) -> str:
     """Return the key of the progress of a maintenance wave."""
-    return f"{UPKEEP_PREFIX}{number}"
+    return f"{MAINTENANCE_PREFIX}{number}"
 
 
 def make_ended_key(job_id: str) -> str:
--- a/src/primrosestile/coordination/work/links.py
+++ b/src/primrosestile/coordination/work/links.py
@@ -23,7 +23,7 @@
 from primrosestile.coordination.work.logfields import list_names, name_member
 from primrosestile.coordination.work.recording import Recorder
 from primrosestile.coordination.work.term import Term
-from primrosestile.coordination.work.workerclock import Reading, WorkerClock
+from primrosestile.coordination.work.workerclock import ClockReading, WorkerClock
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Member, MemberState, Proof, Worker
 from primrosestile.errors import ErrorKind, Failure
@@ -121,7 +121,7 @@
         now = read_clock()
         self.worker.record_answer(now)
         if clock:
-            self.clock.note(Reading(clock, sent_at, now))
+            self.clock.note(ClockReading(clock, sent_at, now))
 
     def note_stopped(self, member: Member) -> None:
         """Note that the worker has answered a stop.
@@ -202,7 +202,7 @@
         self._board.crashes.record_answer(
             entry.address, self.worker.name, self._answered_at
         )
-        self.clock.note(Reading(answer.clock, sent_at, self._answered_at))
+        self.clock.note(ClockReading(answer.clock, sent_at, self._answered_at))
         if entry.address == self.entry.address:
             self.worker.verified = True
         await self._process_poll(answer, sent_at)
--- a/src/primrosestile/coordination/work/ownwatch.py
+++ b/src/primrosestile/coordination/work/ownwatch.py
@@ -12,7 +12,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.intake import RequestWatch
-from primrosestile.coordination.work.keys import GIVEN_UP_KEY, OWNER_KEY
+from primrosestile.coordination.work.keys import OWNER_KEY, RESIGNATIONS_KEY
 from primrosestile.coordination.work.links import WorkerLink
 from primrosestile.coordination.work.metering import MeteredCalls
 from primrosestile.coordination.work.recording import Recorder
@@ -176,7 +176,7 @@
         self._term.resign()
 
     async def _read_record(self) -> None:
-        entry = await self._store.get(GIVEN_UP_KEY)
+        entry = await self._store.get(RESIGNATIONS_KEY)
         if entry is None:
             self._note_record(0)
             return
@@ -190,7 +190,7 @@
 
     async def _clear_record(self) -> None:
         condition = Condition(OWNER_KEY, self._term.fence)
-        done = await self._store.commit([condition], removals=[GIVEN_UP_KEY])
+        done = await self._store.commit([condition], removals=[RESIGNATIONS_KEY])
         if done.done:
             self._note_record(0)
 
--- a/src/primrosestile/coordination/work/reading.py
+++ b/src/primrosestile/coordination/work/reading.py
@@ -36,7 +36,7 @@
 _log = structlog.get_logger()
 
 
-class Reader:
+class PrefixReader:
     """Reads prefixes whose keys end in ids; remembers which must be read in parts."""
 
     def __init__(self, store: TransactionalStore) -> None:
--- a/src/primrosestile/coordination/work/submitting.py
+++ b/src/primrosestile/coordination/work/submitting.py
@@ -54,7 +54,7 @@
 _log = structlog.get_logger()
 
 
-class Submitting:
+class JobSubmissions:
     """Stores callers' jobs and cancellations, and reads the state of jobs."""
 
     def __init__(
--- a/src/primrosestile/coordination/work/workerclock.py
+++ b/src/primrosestile/coordination/work/workerclock.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class ClockReading:
     """A time that a worker reported, and our times around it, in seconds.
 
     Attributes:
@@ -55,7 +55,7 @@
     their answers arrive.
     """
 
-    def __init__(self, reading: Reading) -> None:
+    def __init__(self, reading: ClockReading) -> None:
         self.first = self.latest = reading
         # Offsets from our own time, scaled by one factor or the other. Of the lower
         # bounds, the second highest counts: it is confirmed by another reading.
@@ -63,7 +63,7 @@
         self._lower = reading.worker_time - reading.received_at * SLOW_CLOCK_FACTOR
         self._second_lower = -math.inf
 
-    def contains(self, reading: Reading) -> bool:
+    def contains(self, reading: ClockReading) -> bool:
         """Whether a reading may come from the same clock as the earlier ones."""
         lower = self.find_lower_bound(reading.sent_at) - ROUNDING_MARGIN_SECONDS
         upper = (
@@ -73,7 +73,7 @@
         )
         return lower <= reading.worker_time <= upper
 
-    def narrow(self, reading: Reading) -> None:
+    def narrow(self, reading: ClockReading) -> None:
         """Narrow the bounds by a reading that they hold."""
         if reading.worker_time > self.latest.worker_time:
             self.latest = reading
@@ -117,7 +117,7 @@
         """Whether two readings have agreed."""
         return self._bounds is not None
 
-    def note(self, reading: Reading) -> None:
+    def note(self, reading: ClockReading) -> None:
         """Process the time in the answer to a call of ours."""
         if self._bounds is not None and self._bounds.contains(reading):
             self._bounds.narrow(reading)
@@ -132,7 +132,7 @@
         if self._bounds is None or agreed_for >= CLOCK_SET_SECONDS:
             self._replace_bounds(self._candidate)
 
-    def _log_doubt(self, reading: Reading) -> None:
+    def _log_doubt(self, reading: ClockReading) -> None:
         if self._bounds is not None:
             _log.warning(
                 "worker_time_doubted",
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -12,7 +12,7 @@
 from primrosestile.coordination.work.election import Election
 from primrosestile.coordination.work.policywatch import PolicyWatch
 from primrosestile.coordination.work.scheduling import Scheduler, run_scheduler
-from primrosestile.coordination.work.submitting import Submitting
+from primrosestile.coordination.work.submitting import JobSubmissions
 from primrosestile.coordination.work.term import Term
 from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.platform.advice import PlatformAdvice
@@ -73,7 +73,7 @@
             ),
         )
         self._calls = CallerCalls(
-            Submitting(self._store, self._policies, POLICY_KEY),
+            JobSubmissions(self._store, self._policies, POLICY_KEY),
             self._policies,
             self._metrics,
         )
@@ -82,7 +82,7 @@
             self._store,
             settings.name,
             self._run_term,
-            stand_back=find_election_delay(*self._share),
+            election_delay=find_election_delay(*self._share),
             address=settings.callers_address,
         )
 
--- a/src/primrosestile/programs/nodecalls.py
+++ b/src/primrosestile/programs/nodecalls.py
@@ -8,7 +8,7 @@
 
 from primrosestile.clock import read_clock, read_wall_clock
 from primrosestile.coordination.work.policywatch import PolicyWatch
-from primrosestile.coordination.work.submitting import Submitting
+from primrosestile.coordination.work.submitting import JobSubmissions
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.callers import (
     DEADLINE_HEADER,
@@ -40,7 +40,7 @@
     """
 
     def __init__(
-        self, submitting: Submitting, policies: PolicyWatch, metrics: Metrics
+        self, submitting: JobSubmissions, policies: PolicyWatch, metrics: Metrics
     ) -> None:
         self._metrics = metrics
         self._submitting = submitting
