--- a/features/doubles/fleetworld.py
+++ b/features/doubles/fleetworld.py
@@ -11,10 +11,10 @@
 
 from primrosestile.clock import read_clock, read_wall_clock
 from primrosestile.coordination.work.election import Election
+from primrosestile.coordination.work.job_submissions import JobSubmissions
 from primrosestile.coordination.work.keys import OWNER_KEY
-from primrosestile.coordination.work.policywatch import PolicyWatch
-from primrosestile.coordination.work.scheduling import Scheduler, run_scheduler
-from primrosestile.coordination.work.submitting import JobSubmissions
+from primrosestile.coordination.work.policy_watch import PolicyWatch
+from primrosestile.coordination.work.scheduler import Scheduler, run_scheduler
 from primrosestile.coordination.work.term import Term
 from primrosestile.decisions.work.election_delay import find_election_delay
 from primrosestile.errors import Failure
--- a/features/doubles/longday.py
+++ b/features/doubles/longday.py
@@ -7,14 +7,14 @@
 from features.doubles.fleetworld import POOL, FleetWorld, make_policy
 
 from primrosestile.clock import read_clock, read_wall_clock
-from primrosestile.coordination.work.ended import EndedJobs
+from primrosestile.coordination.work.ended_jobs import EndedJobs
 from primrosestile.coordination.work.keys import (
     JOBS_PREFIX,
     OWNER_KEY,
     make_job_key,
     make_waiting,
 )
-from primrosestile.coordination.work.recording import Recorder
+from primrosestile.coordination.work.recorder import Recorder
 from primrosestile.coordination.work.term import Term
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.platform.policy import read_policy
--- a/features/fuzzing/clocks.py
+++ b/features/fuzzing/clocks.py
@@ -5,7 +5,7 @@
 
 from hypothesis import strategies as st
 
-from primrosestile.coordination.work.workerclock import (
+from primrosestile.coordination.work.worker_clock import (
     ClockReading,
     WorkerClock,
 )
--- a/features/steps/work_reading_steps.py
+++ b/features/steps/work_reading_steps.py
@@ -26,7 +26,7 @@
     make_progress_key,
     make_waiting_key,
 )
-from primrosestile.coordination.work.reading import PrefixReader
+from primrosestile.coordination.work.prefix_reader import PrefixReader
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.callers import read_submission
 from primrosestile.protocol.store import Entry, Page
--- a/features/steps/work_submitting_steps.py
+++ b/features/steps/work_submitting_steps.py
@@ -10,7 +10,7 @@
 from features.steps.work_steps import make_id, write_script
 
 from primrosestile.clock import read_clock, read_wall_clock
-from primrosestile.coordination.work.policywatch import PolicyWatch
+from primrosestile.coordination.work.policy_watch import PolicyWatch
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.callers import read_submission
 from primrosestile.platform.policy import POLICY_KEY, PlatformPolicies
--- a/src/primrosestile/coordination/work/ownwatch.py
+++ b/src/primrosestile/coordination/work/health_monitor.py
@@ -11,12 +11,12 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.work.intake import RequestWatch
 from primrosestile.coordination.work.keys import OWNER_KEY, RESIGNATIONS_KEY
-from primrosestile.coordination.work.links import WorkerLink
-from primrosestile.coordination.work.metering import MeteredCalls
-from primrosestile.coordination.work.recording import Recorder
+from primrosestile.coordination.work.metered_calls import MeteredCalls
+from primrosestile.coordination.work.recorder import Recorder
+from primrosestile.coordination.work.request_watch import RequestWatch
 from primrosestile.coordination.work.term import Term
+from primrosestile.coordination.work.worker_links import WorkerLink
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.owner_health import (
     MOST_SERVE_STEPS,
--- a/src/primrosestile/coordination/work/submitting.py
+++ b/src/primrosestile/coordination/work/job_submissions.py
@@ -21,8 +21,8 @@
     make_progress_key,
     make_waiting,
 )
-from primrosestile.coordination.work.pending import PendingCounts
-from primrosestile.coordination.work.policywatch import PolicyWatch
+from primrosestile.coordination.work.pending_counts import PendingCounts
+from primrosestile.coordination.work.policy_watch import PolicyWatch
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Entry
 from primrosestile.protocol.transactions import (
--- a/src/primrosestile/coordination/work/caring.py
+++ b/src/primrosestile/coordination/work/lease_extender.py
@@ -11,9 +11,9 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.work.links import LEASE_GRACE_SECONDS
 from primrosestile.coordination.work.term import Term
-from primrosestile.coordination.work.workerclock import ClockReading, WorkerClock
+from primrosestile.coordination.work.worker_clock import ClockReading, WorkerClock
+from primrosestile.coordination.work.worker_links import LEASE_GRACE_SECONDS
 from primrosestile.errors import Failure
 from primrosestile.protocol.fleet import Refusal, WorkerCalls, WorkerList
 from primrosestile.state.workers import WorkerEntry
--- a/src/primrosestile/coordination/work/upkeep.py
+++ b/src/primrosestile/coordination/work/maintenance.py
@@ -19,8 +19,8 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.term import Term
-from primrosestile.coordination.work.vmlist import VmList
-from primrosestile.coordination.work.waverecords import RecordUnreadable, WaveRecords
+from primrosestile.coordination.work.vm_list import VmList
+from primrosestile.coordination.work.wave_records import RecordUnreadable, WaveRecords
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.maintenance import may_go, plan_maintenance
 from primrosestile.decisions.work.units import Proof
--- a/src/primrosestile/coordination/work/orders.py
+++ b/src/primrosestile/coordination/work/orders.py
@@ -13,10 +13,10 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.work.links import WorkerLink
-from primrosestile.coordination.work.logfields import name_member, name_unit
-from primrosestile.coordination.work.recording import Recorder
+from primrosestile.coordination.work.log_fields import name_member, name_unit
+from primrosestile.coordination.work.recorder import Recorder
 from primrosestile.coordination.work.term import Term
+from primrosestile.coordination.work.worker_links import WorkerLink
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.paces import Pace
 from primrosestile.decisions.work.plan import Assignment
--- a/src/primrosestile/coordination/work/recording.py
+++ b/src/primrosestile/coordination/work/recorder.py
@@ -25,7 +25,7 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.work.ended import EndedJobs
+from primrosestile.coordination.work.ended_jobs import EndedJobs
 from primrosestile.coordination.work.keys import (
     OWNER_KEY,
     make_cancel_key,
--- a/src/primrosestile/coordination/work/intake.py
+++ b/src/primrosestile/coordination/work/request_watch.py
@@ -21,7 +21,7 @@
 import structlog
 
 from primrosestile.clock import read_clock, read_wall_clock
-from primrosestile.coordination.work.ended import EndedJobs
+from primrosestile.coordination.work.ended_jobs import EndedJobs
 from primrosestile.coordination.work.keys import (
     CALLER_REQUESTS_PREFIX,
     CANCELS_PREFIX,
@@ -29,8 +29,8 @@
     LATEST_REQUEST_KEY,
     PROGRESS_PREFIX,
 )
-from primrosestile.coordination.work.reading import PrefixReader
-from primrosestile.coordination.work.recording import Recorder
+from primrosestile.coordination.work.prefix_reader import PrefixReader
+from primrosestile.coordination.work.recorder import Recorder
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Change, Entry
--- a/src/primrosestile/coordination/work/scheduling.py
+++ b/src/primrosestile/coordination/work/scheduler.py
@@ -10,17 +10,19 @@
 import structlog
 
 from primrosestile.clock import read_clock, read_wall_clock
-from primrosestile.coordination.work.advising import Advisor
-from primrosestile.coordination.work.caring import LeaseExtender
-from primrosestile.coordination.work.ended import EndedJobs
-from primrosestile.coordination.work.intake import RequestWatch
-from primrosestile.coordination.work.learned import StatisticsStore
-from primrosestile.coordination.work.links import LEASE_GRACE_SECONDS, WorkerLink
-from primrosestile.coordination.work.logfields import name_unit
-from primrosestile.coordination.work.metering import MeteredCalls
+from primrosestile.coordination.work.advisor import Advisor
+from primrosestile.coordination.work.ended_jobs import EndedJobs
+from primrosestile.coordination.work.health_monitor import HealthMonitor
+from primrosestile.coordination.work.lease_extender import LeaseExtender
+from primrosestile.coordination.work.log_fields import name_unit
+from primrosestile.coordination.work.maintenance import MaintenanceRunner
+from primrosestile.coordination.work.metered_calls import MeteredCalls
 from primrosestile.coordination.work.orders import Orders
-from primrosestile.coordination.work.ownwatch import HealthMonitor
-from primrosestile.coordination.work.passlog import (
+from primrosestile.coordination.work.policy_watch import PolicyWatch
+from primrosestile.coordination.work.recorder import OwnershipLost, Recorder
+from primrosestile.coordination.work.request_watch import RequestWatch
+from primrosestile.coordination.work.run_statistics import StatisticsStore
+from primrosestile.coordination.work.scheduler_log import (
     log_crashes,
     log_gone,
     log_rescue,
@@ -28,16 +30,14 @@
     log_workers_answered,
     log_workers_found,
 )
-from primrosestile.coordination.work.policywatch import PolicyWatch
-from primrosestile.coordination.work.recording import OwnershipLost, Recorder
-from primrosestile.coordination.work.roster import WorkerDiscovery
 from primrosestile.coordination.work.term import Term
-from primrosestile.coordination.work.upkeep import MaintenanceRunner
-from primrosestile.coordination.work.waitingkeys import reconcile_waiting_keys
-from primrosestile.coordination.work.workerclock import (
+from primrosestile.coordination.work.waiting_keys import reconcile_waiting_keys
+from primrosestile.coordination.work.worker_clock import (
     LEASE_SECONDS,
     SLOW_CLOCK_FACTOR,
 )
+from primrosestile.coordination.work.worker_discovery import WorkerDiscovery
+from primrosestile.coordination.work.worker_links import LEASE_GRACE_SECONDS, WorkerLink
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.evacuation import find_evacuations
 from primrosestile.decisions.work.fleet_state import FleetState
--- a/src/primrosestile/coordination/work/passlog.py
+++ b/src/primrosestile/coordination/work/scheduler_log.py
@@ -5,12 +5,12 @@
 
 import structlog
 
-from primrosestile.coordination.work.links import WorkerLink
-from primrosestile.coordination.work.logfields import (
+from primrosestile.coordination.work.log_fields import (
     list_names,
     name_member,
     name_unit,
 )
+from primrosestile.coordination.work.worker_links import WorkerLink
 from primrosestile.decisions.work.crashes import Crash
 from primrosestile.decisions.work.plan import Stop
 from primrosestile.decisions.work.stall_restarts import StallRestart
--- a/src/primrosestile/coordination/work/links.py
+++ b/src/primrosestile/coordination/work/worker_links.py
@@ -16,14 +16,14 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.work.endnumbers import (
+from primrosestile.coordination.work.end_numbers import (
     UNCONFIRMED_PAUSE_SECONDS,
     EndNumbers,
 )
-from primrosestile.coordination.work.logfields import list_names, name_member
-from primrosestile.coordination.work.recording import Recorder
+from primrosestile.coordination.work.log_fields import list_names, name_member
+from primrosestile.coordination.work.recorder import Recorder
 from primrosestile.coordination.work.term import Term
-from primrosestile.coordination.work.workerclock import ClockReading, WorkerClock
+from primrosestile.coordination.work.worker_clock import ClockReading, WorkerClock
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.units import Member, MemberState, Proof, Worker
 from primrosestile.errors import ErrorKind, Failure
--- a/src/primrosestile/programs/nodecalls.py
+++ b/src/primrosestile/programs/nodecalls.py
@@ -7,8 +7,8 @@
 from aiohttp import web
 
 from primrosestile.clock import read_clock, read_wall_clock
-from primrosestile.coordination.work.policywatch import PolicyWatch
-from primrosestile.coordination.work.submitting import JobSubmissions
+from primrosestile.coordination.work.job_submissions import JobSubmissions
+from primrosestile.coordination.work.policy_watch import PolicyWatch
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.callers import (
     DEADLINE_HEADER,
