--- a/features/steps/ending_steps.py
+++ b/features/steps/ending_steps.py
@@ -9,7 +9,7 @@
 from tools.launch import HOST, iterate_ports
 
 from primrosestile.errors import Failure
-from primrosestile.programs.common import run_until_told
+from primrosestile.programs.common import run_until_signal
 from primrosestile.protocol.messages import SettingsDigest
 from primrosestile.transport.peers import make_peers
 
@@ -47,7 +47,7 @@
         async def drain() -> None:
             await asyncio.sleep(seconds)
 
-        await run_until_told([ask(), tell()], drain, close)
+        await run_until_signal([ask(), tell()], drain, close)
 
     context.closed = context.asked = False
     context.error = None
--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -20,7 +20,7 @@
 from primrosestile.clock import read_clock
 from primrosestile.platform.policy import POLICY_KEY
 from primrosestile.programs import cli
-from primrosestile.programs.cliexplain import gather_story
+from primrosestile.programs.cliexplain import collect_timeline
 from primrosestile.programs.logbounds import OTHER_LINES_PER_SECOND, LineBounds
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
@@ -354,6 +354,6 @@
 @then("the story of a task in them is told within {seconds:g} s")
 def step_told_soon(context: Any, seconds: float) -> None:
     began = time.monotonic()
-    story = gather_story(context.files, f"{7:016x}.0.0.3")
+    story = collect_timeline(context.files, f"{7:016x}.0.0.3")
     assert story
     assert time.monotonic() - began < seconds
--- a/src/primrosestile/programs/__init__.py
+++ b/src/primrosestile/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs: they read settings, build the parts and run until told to end."""
+"""The programs: each reads its settings, wires its parts and runs until a signal."""
--- a/src/primrosestile/programs/answers.py
+++ b/src/primrosestile/programs/answers.py
@@ -1,8 +1,8 @@
-"""Failures of the steward's handlers as answers, from the one table of errors.
+"""Middleware that turns exceptions of the steward's handlers into error answers.
 
-Each handler raises `Failure` and nothing else decides about statuses or wording.
-What is not a `Failure` is a fault of the program: its trace goes to the log, and
-the operator gets the request id to report, never the trace.
+Handlers raise `Failure`, and the table of errors alone sets status and wording. Any
+other exception is a bug: its traceback goes to the log, and the operator gets only the
+request id to report.
 """
 
 import secrets
@@ -17,9 +17,9 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 REQUEST_ID_LIMIT = 128
-FIRST_ERROR_STATUS = 400
+MIN_ERROR_STATUS = 400
 
-# What aiohttp refuses by itself, before any handler of ours.
+# Requests that aiohttp rejects before they reach a handler.
 _WEB_KINDS = {404: ErrorKind.NOT_FOUND, 413: ErrorKind.TOO_LARGE}
 
 WebHandler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -28,7 +28,7 @@
 
 
 def read_request_id(request: web.Request) -> str:
-    """Return the sender's id of a request, or a new one."""
+    """Return the request id that the sender gave, or a new one."""
     given = request.headers.get(REQUEST_ID_HEADER, "")[:REQUEST_ID_LIMIT]
     return given or secrets.token_hex(8)
 
@@ -37,12 +37,12 @@
 async def answer_failures(
     request: web.Request, handler: WebHandler
 ) -> web.StreamResponse:
-    """Turn failures of a handler into answers."""
+    """Turn exceptions of a handler into error answers."""
     request_id = read_request_id(request)
     try:
         return await handler(request)
     except web.HTTPException as error:
-        if error.status < FIRST_ERROR_STATUS:
+        if error.status < MIN_ERROR_STATUS:
             raise
         kind = _WEB_KINDS.get(error.status, ErrorKind.MALFORMED)
         return answer_failure(Failure(kind, error.reason), request_id)
--- a/src/primrosestile/programs/cli.py
+++ b/src/primrosestile/programs/cli.py
@@ -1,7 +1,7 @@
 """The command line for operators and callers.
 
-Whatever goes wrong, a command answers with a sentence and an exit code. A
-traceback would tell its reader nothing about what to do next.
+Every failure is reported as a sentence and an exit code, never as a traceback, which
+does not say what to do next.
 """
 
 import sys
--- a/src/primrosestile/programs/clichanges.py
+++ b/src/primrosestile/programs/clichanges.py
@@ -51,7 +51,7 @@
     revision: Annotated[
         int | None,
         typer.Option(
-            help="The revision that you have seen; the present one if left out."
+            help="The revision that the change is based on; default: the current one."
         ),
     ] = None,
     comment: Comment = "",
@@ -113,7 +113,7 @@
 def edit(
     path: PathArgument,
     assignments: Annotated[
-        list[str], typer.Option("--set", help="NAME=JSON; may be given several times.")
+        list[str], typer.Option("--set", help="NAME=JSON; may be repeated.")
     ],
     comment: Comment = "",
     wait: Wait = False,
@@ -122,10 +122,10 @@
     steward: Steward = STEWARD_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Change single parts of a value, and nothing that others change meanwhile.
+    """Change single parts of a value; a concurrent change is a conflict.
 
-    For larger changes: get the value into a file, change it with any editor, and
-    put it with the revision that `get` has shown.
+    For larger changes, write the value to a file with `get`, edit it, and `put` it
+    with the revision that `get` printed.
     """
 
     async def change(client: Client) -> Any:
@@ -144,7 +144,7 @@
 @app.command(epilog="Example: primrosestile settings rollback policy 3 -m 'too strict'")
 def rollback(
     path: PathArgument,
-    revision: Annotated[int, typer.Argument(help="The revision whose value to take.")],
+    revision: Annotated[int, typer.Argument(help="The revision to restore.")],
     comment: Comment = "",
     wait: Wait = False,
     wait_seconds: WaitSeconds = WAIT_DEFAULT_SECONDS,
@@ -152,7 +152,7 @@
     steward: Steward = STEWARD_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Store an earlier value again, as a new and checked change."""
+    """Restore an earlier value as a new change, which is checked like any other."""
 
     async def change(client: Client) -> Any:
         url = f"/v1/history/{path}?limit=1&before={revision + 1}"
@@ -176,7 +176,7 @@
     store: Annotated[
         str,
         typer.Option(
-            help="Write to the platform's store at ip:port, for the first load."
+            help="Write directly to the store at ip:port, for the first load."
         ),
     ] = "",
     comment: Comment = "",
@@ -186,10 +186,10 @@
     steward: Steward = STEWARD_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Check a settings file and store each part that differs at its path.
+    """Check a settings file and store each part that differs from the store.
 
-    The first load of a deployment goes to the store itself, since no operator's
-    key is in force yet. Teams that the file does not name are left as they are.
+    The first load of a deployment writes directly to the store, because no operator
+    key is in force yet. Teams that are not in the file are left unchanged.
     """
 
     def work() -> None:
@@ -220,18 +220,18 @@
     client: Client, document: dict[str, Any], comment: str
 ) -> list[Any]:
     listed = (await client.call("GET", "/v1/settings"))["settings"]
-    stands = {each["path"]: each["value"] for each in listed}
+    current = {each["path"]: each["value"] for each in listed}
     revisions = {each["path"]: each["revision"] for each in listed}
-    steps = list_load_steps(document, stands)
+    steps = list_load_steps(document, current)
     accepted = []
     progress = Progress()
     for number, (path, value) in enumerate(steps, start=1):
         progress.show(f"{number} of {len(steps)}: {path}")
-        if stands.get(path) == value:
+        if current.get(path) == value:
             continue
         body = {"revision": revisions.get(path, 0), "value": value, "comment": comment}
         change = await client.call("PUT", f"/v1/settings/{path}", body)
-        stands[path], revisions[path] = value, change["revision"]
+        current[path], revisions[path] = value, change["revision"]
         accepted.append(change)
     progress.end()
     return accepted
@@ -248,18 +248,18 @@
             each.key.removeprefix(SETTINGS_PREFIX): decode_stored(each.value)
             for each in entries
         }
-        stands = {
+        current = {
             path: read_json(s.value or "null", path) for path, s in stored.items()
         }
         revisions = {path: setting.revision for path, setting in stored.items()}
-        for path, value in list_load_steps(document, stands):
-            if stands.get(path) == value:
+        for path, value in list_load_steps(document, current):
+            if current.get(path) == value:
                 continue
             text = "" if value is None else encode_json(value).decode()
             change = await put_setting(
                 store, path, text, revisions.get(path, 0), DIRECT_ACTOR, comment
             )
-            stands[path], revisions[path] = value, change.revision
+            current[path], revisions[path] = value, change.revision
             accepted.append({"path": path, "revision": change.revision, "warnings": []})
     finally:
         await store.close()
--- a/src/primrosestile/programs/cliclient.py
+++ b/src/primrosestile/programs/cliclient.py
@@ -1,7 +1,7 @@
 """Calls from the command line to a steward or an entry.
 
-The token is read from the environment or a file and never from an argument, since
-arguments can be read by everyone on the machine and stay in the shell's history.
+The token is read from the environment or a file and never from an argument, because
+arguments are visible to every user of the machine and stay in the shell history.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 
 TOKEN_VARIABLE = "PRIMROSESTILE_TOKEN"
 CALL_TIMEOUT_SECONDS = 15.0
-FIRST_ERROR_STATUS = 400
-READING = ("GET",)
+MIN_ERROR_STATUS = 400
+READ_METHODS = ("GET",)
 
 T = TypeVar("T")
 
 
 class Client:
-    """One steward or entry, for the length of one command."""
+    """A client of one steward or entry, for the duration of one command."""
 
     def __init__(self, address: str, token: str) -> None:
         self._address = address
@@ -43,14 +43,16 @@
         request_id: str = "",
         timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> Any:
-        """Send one call and return the JSON of its answer.
+        """Send one call and return the decoded JSON of its answer.
 
         Raises:
-            CommandFailure: The other end refused.
+            CommandFailure: The server refused the call.
             Failure: NO_TARGET when nothing was sent, OUTCOME_UNKNOWN when a
-                change was sent and no answer came.
+                change was sent and not answered.
         """
-        lost = ErrorKind.NO_TARGET if method in READING else ErrorKind.OUTCOME_UNKNOWN
+        lost = (
+            ErrorKind.NO_TARGET if method in READ_METHODS else ErrorKind.OUTCOME_UNKNOWN
+        )
         headers = {"Content-Type": "application/json"}
         if self._token:
             headers["Authorization"] = f"Bearer {self._token}"
@@ -74,19 +76,19 @@
 
 def _read_reply(reply: Reply, address: str) -> Any:
     try:
-        if reply.status < FIRST_ERROR_STATUS:
+        if reply.status < MIN_ERROR_STATUS:
             return msgspec.json.decode(reply.body or b"null")
         body = msgspec.json.decode(reply.body, type=ErrorBody)
         faults = msgspec.json.decode(reply.body).get("faults", ())
         raise CommandFailure(body, msgspec.convert(faults, tuple[Fault, ...]))
     except msgspec.MsgspecError:
-        detail = f"{address} answered {reply.status}, in a form that is not ours"
+        detail = f"{address} answered {reply.status} with an unknown body"
         kind = ErrorKind.NOT_FOUND if reply.status == 404 else ErrorKind.INTERNAL
         raise Failure(kind, detail) from None
 
 
 def read_token(file: Path | None) -> str:
-    """Return the token of a file or of the environment; empty when none is set.
+    """Return the token from a file or the environment; empty when none is set.
 
     Raises:
         Failure: MALFORMED when the file can't be read, or holds more than a token.
@@ -117,7 +119,7 @@
 def run_client(
     address: str, token_file: Path | None, work: Callable[[Client], Awaitable[T]]
 ) -> T:
-    """Run one command's calls and return what they came to."""
+    """Run the calls of one command and return their result."""
 
     async def run() -> T:
         client = Client(address, read_token(token_file))
@@ -132,5 +134,5 @@
 def call_once(
     address: str, token_file: Path | None, path: str, method: str = "GET"
 ) -> Any:
-    """Run a command that is one call without a body; return its answer."""
+    """Run a command that consists of one call without a body; return its answer."""
     return run_client(address, token_file, lambda client: client.call(method, path))
--- a/src/primrosestile/programs/clidocuments.py
+++ b/src/primrosestile/programs/clidocuments.py
@@ -1,4 +1,4 @@
-"""Settings documents and values, as commands take them apart and compare them."""
+"""Parsing, comparing and editing of settings values for the command line."""
 
 import difflib
 import json
@@ -14,7 +14,7 @@
     """Return the JSON in a text.
 
     Raises:
-        Failure: MALFORMED, naming where it came from.
+        Failure: MALFORMED, with the name of the source.
     """
     try:
         return json.loads(text)
@@ -23,7 +23,7 @@
 
 
 def compare_values(path: str, before: Any, after: Any) -> list[str]:
-    """Return the changed lines of a value, as a unified diff."""
+    """Return a unified diff of two values."""
     lines = difflib.unified_diff(
         _list_lines(before),
         _list_lines(after),
@@ -42,18 +42,18 @@
 
 
 def set_part(value: Any, assignment: str) -> None:
-    """Carry out one `name[0].inner=JSON` on a value, in place.
+    """Apply one assignment `name[0].inner=JSON` to a value, which is mutated.
 
     Raises:
-        Failure: MALFORMED when the assignment is none, NOT_FOUND when the value
-            has no such part.
+        Failure: MALFORMED for an invalid assignment, NOT_FOUND when the value has
+            no such part.
     """
-    place, sign, text = assignment.partition("=")
-    parts = _split_place(place)
+    path, sign, text = assignment.partition("=")
+    parts = _split_path(path)
     if not sign or not parts:
-        detail = f"{assignment!r}: write it as NAME=JSON, such as quota_accelerators=32"
+        detail = f"{assignment!r} must be NAME=JSON, such as quota_accelerators=32"
         raise Failure(ErrorKind.MALFORMED, detail)
-    new = read_json(text, f"the value of {place}")
+    new = read_json(text, f"the value of {path}")
     try:
         for part in parts[:-1]:
             value = value[part]
@@ -62,10 +62,10 @@
             raise TypeError
         value[last] = new
     except (KeyError, IndexError, TypeError):
-        raise Failure(ErrorKind.NOT_FOUND, f"the value has no part {place}") from None
+        raise Failure(ErrorKind.NOT_FOUND, f"the value has no part {path}") from None
 
 
-def _split_place(place: str) -> list[str | int]:
-    if _PART.sub("", place).strip("."):
+def _split_path(path: str) -> list[str | int]:
+    if _PART.sub("", path).strip("."):
         return []
-    return [name or int(index) for name, index in _PART.findall(place)]
+    return [name or int(index) for name, index in _PART.findall(path)]
--- a/src/primrosestile/programs/cliexplain.py
+++ b/src/primrosestile/programs/cliexplain.py
@@ -1,11 +1,9 @@
-"""Gathers the lines of one id from the logs of several processes into one story.
+"""Collects the log lines of one id from several processes into one timeline.
 
-The id of a task tells its runs, with what was believed of the workers they were on.
-
-
-The process that took a call in and the one that scheduled its job are seldom the
-same, and a job may pass through several owners. Each line names its process and
-its time, so the files can be given in any order.
+For a task's id the timeline contains its runs and the owner's view of their workers.
+The process that accepted a call and the one that scheduled its job are usually not
+the same, and a job may have several owners. Each line has its process and time, so the
+files can be given in any order.
 """
 
 from collections.abc import Iterable, Iterator
@@ -16,9 +14,9 @@
 import typer
 
 from primrosestile.programs.clioutput import Exit, print_note
-from primrosestile.programs.stories import find_time, parse_task, tell_task
+from primrosestile.programs.stories import find_time, parse_task, select_task_lines
 
-# Shown first, or not at all, since every line has them.
+# Fields of every line; they are printed first or omitted.
 _COMMON = frozenset(
     {"timestamp", "process", "event", "level", "job_id", "request_id", "epoch"}
 )
@@ -27,29 +25,29 @@
 def explain(
     files: Annotated[list[Path], typer.Argument(help="Logs of processes.")],
     id: Annotated[
-        str, typer.Option("--id", help="A job's, a request's or a task's id.")
+        str, typer.Option("--id", help="The id of a job, a request or a task.")
     ],
 ) -> None:
-    """Print what the logs say of one id, in the order of their times."""
-    lines = gather_story(files, id)
+    """Print the log lines of one id, ordered by time."""
+    lines = collect_timeline(files, id)
     if not lines:
-        print_note(f"no line of {len(files)} files names {id}")
-        print_note("Give the logs of all processes, from before it was handed in.")
+        print_note(f"no line in {len(files)} files contains {id}")
+        print_note("Give the logs of all processes, from before it was submitted.")
         raise typer.Exit(Exit.NOT_FOUND)
     for line in lines:
         print(format_line(line))
 
 
-def gather_story(files: Iterable[Path], id: str) -> list[Any]:
-    """Return the lines that belong to an id, in the order of their times."""
+def collect_timeline(files: Iterable[Path], id: str) -> list[Any]:
+    """Return the lines that belong to an id, ordered by time."""
     task = parse_task(id)
     if task is None:
-        return sorted(gather_lines(files, id), key=find_time)
-    return tell_task(gather_lines(files, ""), task)
+        return sorted(collect_lines(files, id), key=find_time)
+    return select_task_lines(collect_lines(files, ""), task)
 
 
-def gather_lines(files: Iterable[Path], id: str) -> Iterator[dict[str, Any]]:
-    """Yield the lines in which an id stands, in any field; all for an empty one."""
+def collect_lines(files: Iterable[Path], id: str) -> Iterator[dict[str, Any]]:
+    """Yield the lines that contain an id in any field; all lines for an empty id."""
     for path in files:
         with path.open(encoding="utf-8", errors="replace") as file:
             for text in file:
@@ -58,7 +56,7 @@
 
 
 def _read_line(text: str) -> Iterator[dict[str, Any]]:
-    """Yield the line's object; other programs' lines may stand in the same file."""
+    """Yield the JSON object of a line; nothing for lines of other programs."""
     begin = text.find("{")
     if begin < 0:
         return
@@ -71,7 +69,7 @@
 
 
 def format_line(line: dict[str, Any]) -> str:
-    """Return a line for people: when, who, what, and what it rested on."""
+    """Return a line for people: time, process, event and details."""
     details = " ".join(
         f"{name}={value}" for name, value in line.items() if name not in _COMMON
     )
--- a/src/primrosestile/programs/clifollow.py
+++ b/src/primrosestile/programs/clifollow.py
@@ -1,4 +1,4 @@
-"""Waiting until a change is in force everywhere."""
+"""Waiting for a change to be in force in every process."""
 
 import asyncio
 from typing import Any
@@ -15,7 +15,7 @@
     """Wait until each process has applied each path; return the last status.
 
     Raises:
-        Failure: DEADLINE_PASSED when it took longer than `seconds`.
+        Failure: DEADLINE_PASSED when it takes longer than `seconds`.
     """
     deadline = read_clock() + seconds
     progress = Progress()
--- a/src/primrosestile/programs/clijobs.py
+++ b/src/primrosestile/programs/clijobs.py
@@ -36,7 +36,7 @@
 
 app = typer.Typer(no_args_is_help=True, help="Submit, follow and cancel gang jobs.")
 
-JobArgument = Annotated[str, typer.Argument(help="The id that `job submit` has shown.")]
+JobArgument = Annotated[str, typer.Argument(help="The id that `job submit` printed.")]
 
 
 @app.command(
@@ -47,19 +47,25 @@
     team: Annotated[str, typer.Option(help="Your team.")],
     job_class: Annotated[str, typer.Option("--class", help="A job class of the team.")],
     accelerators: Annotated[
-        int | None, typer.Option(min=1, help="How many; the class's shape if left out.")
+        int | None,
+        typer.Option(
+            min=1, help="Number of accelerators; default: the shape of the class."
+        ),
     ] = None,
     adjacency: Annotated[
-        Adjacency, typer.Option(help="How close they must be.")
+        Adjacency, typer.Option(help="How close the accelerators must be.")
     ] = Adjacency.WORKER,
     seconds: Annotated[
-        float | None, typer.Option(min=0, help="Your guess of the run time.")
+        float | None, typer.Option(min=0, help="Estimated run time in seconds.")
     ] = None,
     payload: Annotated[str, typer.Option(help="Text for the engine.")] = "",
     request_id: Annotated[
-        str, typer.Option(help="Your own id; repeat it to ask again without risk.")
+        str,
+        typer.Option(help="Your own id; retry with the same id to submit only once."),
     ] = "",
-    wait: Annotated[bool, typer.Option("--wait", help="Wait for its end.")] = False,
+    wait: Annotated[
+        bool, typer.Option("--wait", help="Wait until the job ends.")
+    ] = False,
     wait_seconds: WaitSeconds = JOB_WAIT_SECONDS,
     as_json: AsJson = False,
     entry: Entry = ENTRY_DEFAULT,
@@ -82,8 +88,8 @@
         return await _wait_for_end(client, answer["job_id"], wait_seconds)
 
     def work() -> None:
-        # Shown before the call: should its answer be lost, the same id submits
-        # the same job again and not a second one.
+        # Printed before the call: if the answer is lost, a retry with the same id
+        # does not submit a second job.
         if not request_id:
             print_note(f"request id {own_id}")
         found = run_client(entry, token_file, send)
@@ -101,7 +107,7 @@
     entry: Entry = ENTRY_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Show where a job stands."""
+    """Show the state and history of a job."""
 
     def work() -> None:
         found = call_once(entry, token_file, f"/v1/jobs/{job_id}")
@@ -117,7 +123,7 @@
     entry: Entry = ENTRY_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Ask for a job to be cancelled."""
+    """Request the cancellation of a job."""
 
     def describe(found: dict[str, Any]) -> Iterator[str]:
         ended = found["state"] in ENDED
@@ -137,7 +143,7 @@
     steward: Steward = STEWARD_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Show each decision about a job, and why it was taken."""
+    """Show each decision about a job and its reason."""
 
     def describe(found: dict[str, Any]) -> Iterator[str]:
         yield f"{job_id}: {found['state']}. {found['summary']}"
--- a/src/primrosestile/programs/clioptions.py
+++ b/src/primrosestile/programs/clioptions.py
@@ -1,11 +1,11 @@
-"""Options that several commands share, so that they read alike everywhere."""
+"""Options that several commands share."""
 
 from pathlib import Path
 from typing import Annotated
 
 import typer
 
-AsJson = Annotated[bool, typer.Option("--json", help="Print JSON for programs.")]
+AsJson = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 Steward = Annotated[
     str,
     typer.Option(
@@ -29,14 +29,14 @@
     typer.Option(
         "--token-file",
         envvar="PRIMROSESTILE_TOKEN_FILE",
-        help="File with the bearer token; without it, PRIMROSESTILE_TOKEN is used.",
+        help="File with the bearer token; default: PRIMROSESTILE_TOKEN.",
     ),
 ]
 Comment = Annotated[
-    str, typer.Option("--comment", "-m", help="Why; kept in the audit trail.")
+    str, typer.Option("--comment", "-m", help="The reason, kept in the audit trail.")
 ]
 Wait = Annotated[
-    bool, typer.Option("--wait", help="Wait until it is in force everywhere.")
+    bool, typer.Option("--wait", help="Wait until the change is in force everywhere.")
 ]
 WaitSeconds = Annotated[
     float, typer.Option("--wait-seconds", min=0, help="Longest wait, in seconds.")
--- a/src/primrosestile/programs/clioutput.py
+++ b/src/primrosestile/programs/clioutput.py
@@ -1,8 +1,7 @@
-"""What the command line prints, and the one table of its exit codes.
+"""Output of the command line, and the table of its exit codes.
 
-A script that calls a command acts on the exit code alone. So the codes keep apart
-what needs different actions: correct the input, come back later, look before
-trying again.
+Scripts act on the exit code alone. The codes therefore distinguish failures that need
+different actions: correct the input, retry later, or check the outcome before a retry.
 """
 
 import json
@@ -37,14 +36,14 @@
 
 EXIT_MEANINGS: dict[Exit, str] = {
     Exit.DONE: "done",
-    Exit.FAULT: "a fault of the program itself",
+    Exit.FAULT: "an internal fault of the program",
     Exit.INVALID: "wrong usage or input, such as faults in settings",
-    Exit.UNREACHABLE: "nobody answered at the address, or the store is down",
-    Exit.NO_RIGHTS: "no token, or one without this right",
-    Exit.NOT_FOUND: "there is no such path, job or revision",
-    Exit.CONFLICT: "somebody else has changed it in the meantime",
-    Exit.REFUSED: "refused and not run; come back later",
-    Exit.UNKNOWN: "it may have been done; look before trying again",
+    Exit.UNREACHABLE: "no answer from the address, or the store is down",
+    Exit.NO_RIGHTS: "no token, or one without the required rights",
+    Exit.NOT_FOUND: "no such path, job or revision",
+    Exit.CONFLICT: "changed by another writer in the meantime",
+    Exit.REFUSED: "refused and not run; retry later",
+    Exit.UNKNOWN: "it may have been done; check before a retry",
     Exit.ENDED_BADLY: "the job ended without finishing",
     Exit.NOT_IN_FORCE: "a process lags or does not answer; settings status names it",
 }
@@ -70,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorBody:
-    """What the other end says of an error; the docs list the kinds."""
+    """The body of an error answer; docs/errors.md lists the kinds."""
 
     error: str
     detail: str
@@ -81,7 +80,7 @@
 
 
 class CommandFailure(Exception):
-    """A command's answer when it could not do what was asked."""
+    """Raised when a command fails, with the error to print."""
 
     def __init__(self, body: ErrorBody, faults: Sequence[Fault] = ()) -> None:
         super().__init__(body.detail)
@@ -95,7 +94,7 @@
 
 
 def choose_exit(body: ErrorBody) -> Exit:
-    """Return the exit code of an error, also of a kind that is unknown here."""
+    """Return the exit code of an error, also for a kind unknown to this version."""
     known = {kind.value: kind for kind in ErrorKind}
     kind = known.get(body.error)
     if kind in _EXITS:
@@ -104,7 +103,7 @@
 
 
 def make_failure_body(failure: Failure) -> ErrorBody:
-    """Return a failure met here in the form in which servers answer one."""
+    """Return a local failure in the form of a server's error answer."""
     answer = failure.answer
     return ErrorBody(
         error=failure.kind.value,
@@ -125,7 +124,7 @@
 def print_result(
     found: Any, as_json: bool, describe: Callable[[Any], Iterable[str]]
 ) -> None:
-    """Print what a command came to, for programs or for people."""
+    """Print the result of a command as JSON or as text."""
     if as_json:
         print_value(found)
     else:
@@ -133,13 +132,13 @@
 
 
 def print_lines(lines: Iterable[str]) -> None:
-    """Print lines for people."""
+    """Print lines of text."""
     for line in lines:
         typer.echo(line)
 
 
 def print_note(text: str) -> None:
-    """Print something that isn't part of the result, so that pipes stay clean."""
+    """Print a message to standard error, so that pipes get only the result."""
     typer.echo(text, err=True)
 
 
@@ -154,7 +153,7 @@
 
 
 def print_failure(failure: CommandFailure, as_json: bool) -> None:
-    """Print why a command failed and what to do next."""
+    """Print why a command failed, with the remedy."""
     body = failure.body
     if as_json:
         shown = msgspec.to_builtins(body)
@@ -164,7 +163,7 @@
     if body.detail:
         print_note(body.remedy)
     if body.retry_after is not None:
-        print_note(f"Come back in {body.retry_after:g} s.")
+        print_note(f"Retry after {body.retry_after:g} s.")
     if body.request_id:
         print_note(f"Request id: {body.request_id}")
     print_faults(failure.faults, as_json=False)
@@ -172,19 +171,19 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One line on the terminal that is written over while something lasts."""
+    """A progress line on the terminal that is overwritten by each update."""
 
     shown: int = 0
 
     def show(self, text: str) -> None:
-        """Write over the line; without a terminal, nothing is written."""
+        """Overwrite the line; without a terminal, nothing is written."""
         if sys.stderr.isatty():
             sys.stderr.write("\r" + text.ljust(self.shown))
             sys.stderr.flush()
             self.shown = len(text)
 
     def end(self) -> None:
-        """Leave the line as it stands."""
+        """Finish the line, leaving its last text."""
         if self.shown:
             sys.stderr.write("\n")
             self.shown = 0
@@ -197,7 +196,7 @@
 
 
 def run_command(command: Callable[[], None], as_json: bool) -> None:
-    """Run a command; print each failure as an answer and exit with its code."""
+    """Run a command; print a failure and exit with its code."""
     try:
         command()
     except CommandFailure as failure:
--- a/src/primrosestile/programs/clisettings.py
+++ b/src/primrosestile/programs/clisettings.py
@@ -47,9 +47,9 @@
 
 @app.command(epilog="Example: primrosestile settings check settings.json")
 def check(file: FileArgument, as_json: AsJson = False) -> None:
-    """Check a whole settings file and show each fault with its remedy.
+    """Check a complete settings file and show each fault with its remedy.
 
-    Works without a connection. Exits with 2 when there is a fault.
+    Needs no connection. Exits with 2 if there are faults.
     """
 
     def work() -> None:
@@ -74,7 +74,7 @@
 
 @app.command(epilog="Example: primrosestile settings get teams/preview > preview.json")
 def get(
-    path: Annotated[str, typer.Argument(help="A path; all of them if left out.")] = "",
+    path: Annotated[str, typer.Argument(help="A path; default: all paths.")] = "",
     as_json: AsJson = False,
     steward: Steward = STEWARD_DEFAULT,
     token_file: TokenFile = None,
@@ -87,19 +87,19 @@
         if as_json:
             print_value(shown)
         elif path:
-            print_note(f"{path} at revision {shown['revision']}{_say_stale(shown)}")
+            print_note(f"{path} at revision {shown['revision']}{_format_stale(shown)}")
             print_value(shown["value"])
         else:
             print_lines(
-                f"{each['path']} at revision {each['revision']}{_say_stale(each)}"
+                f"{each['path']} at revision {each['revision']}{_format_stale(each)}"
                 for each in shown["settings"]
             )
 
     run_command(work, as_json)
 
 
-def _say_stale(shown: dict[str, Any]) -> str:
-    return " (the store is down; this may lag)" if shown["stale"] else ""
+def _format_stale(shown: dict[str, Any]) -> str:
+    return " (the store is down; this may be outdated)" if shown["stale"] else ""
 
 
 @app.command(epilog="Example: primrosestile settings diff settings.json")
@@ -114,11 +114,11 @@
     def work() -> None:
         document = require_valid(file, as_json)
         listed = call_once(steward, token_file, "/v1/settings")
-        stands = {each["path"]: each["value"] for each in listed["settings"]}
+        current = {each["path"]: each["value"] for each in listed["settings"]}
         wanted = dict(split_document(document))
         changed = {
-            path: compare_values(path, stands.get(path), wanted.get(path))
-            for path in sorted(stands.keys() | wanted.keys())
+            path: compare_values(path, current.get(path), wanted.get(path))
+            for path in sorted(current.keys() | wanted.keys())
         }
         changed = {path: lines for path, lines in changed.items() if lines}
         if as_json:
@@ -132,7 +132,7 @@
 @app.command(epilog="Example: primrosestile settings history policy --limit 5")
 def history(
     path: PathArgument,
-    limit: Annotated[int, typer.Option(min=1, max=50, help="Entries a page.")] = 20,
+    limit: Annotated[int, typer.Option(min=1, max=50, help="Entries per page.")] = 20,
     before: Annotated[
         int | None, typer.Option(help="Only entries before this revision.")
     ] = None,
@@ -140,7 +140,7 @@
     steward: Steward = STEWARD_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Show who changed a path, when, why and what; newest first."""
+    """Show the changes of a path with author, time and comment; newest first."""
 
     def work() -> None:
         url = f"/v1/history/{path}?limit={limit}"
@@ -174,9 +174,9 @@
     steward: Steward = STEWARD_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Show which process has applied which revision.
+    """Show which settings revision each process has applied.
 
-    Exits with 10 while a process lags or does not answer.
+    Exits with 10 if a process lags or does not answer.
     """
 
     async def read(client: Client) -> Any:
--- a/src/primrosestile/programs/cliviews.py
+++ b/src/primrosestile/programs/cliviews.py
@@ -18,7 +18,7 @@
     steward: Steward = STEWARD_DEFAULT,
     token_file: TokenFile = None,
 ) -> None:
-    """Show each cell: free accelerators, waiting jobs, workers out of use."""
+    """Show each cell: free accelerators, waiting jobs and unavailable workers."""
 
     def work() -> None:
         found = call_once(steward, token_file, "/v1/fleet")
@@ -42,12 +42,12 @@
         f"fragmentation {cell['fragmentation']:.2f}",
         f"completion {_describe_completion(cell['completion_seconds'])}",
     ]
-    out_of_use = [
+    unavailable = [
         f"{word}: {', '.join(cell[word])}"
         for word in ("leaving", "quarantined", "unreachable")
         if cell[word]
     ]
-    return "; ".join(parts + out_of_use)
+    return "; ".join(parts + unavailable)
 
 
 def _describe_completion(seconds: float | None) -> str:
--- a/src/primrosestile/programs/common.py
+++ b/src/primrosestile/programs/common.py
@@ -1,9 +1,8 @@
-"""What every program does alike: settings, logs, metrics, health, the end.
+"""Code that all programs share: settings, health routes, metrics and shutdown.
 
-A program is told to end by SIGTERM or SIGINT. It then turns its readiness off and
-keeps serving for as long as the balancer may lag, because a balancer that has not
-looked yet goes on sending; only then does it stop listening, finish what is in
-progress, and exit.
+A program shuts down on SIGTERM or SIGINT. It turns its readiness off and keeps serving
+for as long as the balancer may lag, because the balancer goes on sending until its
+next readiness check. Then it stops listening, finishes what is in progress, and exits.
 """
 
 import argparse
@@ -23,7 +22,7 @@
 
 from primrosestile.errors import Failure
 from primrosestile.programs.metrics import Metrics
-from primrosestile.programs.timekeeping import keep_time
+from primrosestile.programs.timekeeping import follow_vm_clock
 from primrosestile.state.process import ProcessSettings
 from primrosestile.transport.wire import encode_json
 
@@ -33,17 +32,17 @@
 
 
 def read_process_settings(path: Path) -> ProcessSettings:
-    """Read one process's settings; end the program with 2 where they are wrong."""
+    """Read the settings of one process; exit with 2 if they are invalid."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=ProcessSettings)
     except (OSError, msgspec.MsgspecError) as error:
         print(f"{path}: {error}", file=sys.stderr)
-        print("Mend the file; docs/OPERATIONS.md shows one.", file=sys.stderr)
+        print("Correct the file; docs/OPERATIONS.md has an example.", file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
 
 
 def parse_arguments(program: str, summary: str) -> ProcessSettings:
-    """Return the settings that the command line names."""
+    """Return the settings from the file that the command line names."""
     parser = argparse.ArgumentParser(prog=program, description=summary)
     parser.add_argument(
         "--settings",
@@ -60,8 +59,8 @@
     """Whether the balancer should send to this process.
 
     Attributes:
-        reasons: Why not, by name of the part; empty when ready.
-        applied: The revision of each settings path in force here.
+        reasons: Why it should not, by name of the part; empty when ready.
+        applied: Returns the revision of each settings path in force here.
     """
 
     reasons: dict[str, str] = field(default_factory=dict)
@@ -69,7 +68,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether nothing stands against it."""
+        """Whether there is no reason against it."""
         return not self.reasons
 
 
@@ -81,7 +80,7 @@
 
 
 def answer_failure(failure: Failure, request_id: str = "") -> web.Response:
-    """Return what a caller is told about a failure, from the one table."""
+    """Return the error answer for a failure, from the table of errors."""
     answer = failure.answer
     after = failure.come_back_after
     body = {
@@ -101,7 +100,7 @@
 def add_health_routes(
     app: web.Application, settings: ProcessSettings, health: Health, metrics: Metrics
 ) -> None:
-    """Add what every program serves beside its own routes."""
+    """Add the health, metrics and settings routes that every program serves."""
 
     async def show_health(request: web.Request) -> web.Response:
         return web.Response(text="ok\n")
@@ -127,7 +126,7 @@
 
 
 async def start_http(app: web.Application, address: str) -> web.AppRunner:
-    """Listen on `ip:port`; the runner's clean-up finishes what is in progress."""
+    """Listen on `ip:port`; the runner's `cleanup` finishes requests in progress."""
     host, _, port = address.rpartition(":")
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=60.0)
     await runner.setup()
@@ -136,37 +135,40 @@
     return runner
 
 
-async def wait_for_end_signal() -> None:
-    """Return once the process is told to end."""
-    told = asyncio.Event()
+async def wait_for_stop_signal() -> None:
+    """Return once SIGTERM or SIGINT arrives."""
+    signalled = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
-    await told.wait()
+        loop.add_signal_handler(number, signalled.set)
+    await signalled.wait()
 
 
-async def run_until_told(
+async def run_until_signal(
     services: list[Awaitable[None]],
     drain: Callable[[], Awaitable[None]],
     close: Callable[[], Awaitable[None]],
 ) -> None:
-    """Run services until the process is told to end, then drain and stop them.
+    """Run services until SIGTERM or SIGINT, then drain and stop them.
 
-    Connections are closed only once no service runs any more. Closed before, a
-    service that happened to use one raised, and the process ended with 1 though it
-    had drained well.
+    Connections are closed after all services have stopped. When they were closed
+    earlier, a service that was using one raised, and the process exited with 1 although
+    it had drained completely.
 
     Args:
         services: Each runs until it is cancelled.
-        drain: Finishes what is in progress; the services go on meanwhile.
-        close: Closes what the services use.
+        drain: Finishes what is in progress while the services keep running.
+        close: Closes the connections of the services.
 
     Raises:
-        BaseExceptionGroup: What ended a service that should have gone on.
+        BaseExceptionGroup: A service ended with an exception.
     """
     async with asyncio.TaskGroup() as group:
-        tasks = [group.create_task(_keep(each)) for each in [*services, keep_time()]]
-        await wait_for_end_signal()
+        tasks = [
+            group.create_task(_run_service(each))
+            for each in [*services, follow_vm_clock()]
+        ]
+        await wait_for_stop_signal()
         _log.info("draining")
         await drain()
         for task in tasks:
@@ -175,7 +177,7 @@
     _log.info("ended")
 
 
-async def _keep(service: Awaitable[None]) -> None:
+async def _run_service(service: Awaitable[None]) -> None:
     await service
 
 
--- a/src/primrosestile/programs/entry.py
+++ b/src/primrosestile/programs/entry.py
@@ -1,7 +1,7 @@
-"""`primrosestile-entry`: callers' HTTP.
+"""`primrosestile-entry`: the HTTP interface for callers.
 
-Short requests are queued here and sent to workers' slots; gang jobs are accepted
-into the store, where the owner of their cell finds them.
+Short requests are queued here and dispatched to slots of workers. Gang jobs are
+written to the store, where the owner of their cell finds them.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
     add_health_routes,
     parse_arguments,
     run_program,
-    run_until_told,
+    run_until_signal,
     start_http,
 )
 from primrosestile.programs.entryapp import EntryParts, make_entry_app
@@ -34,16 +34,17 @@
 from primrosestile.transport.targets import HttpTargets, make_targets
 
 PROGRAM = "entry"
-GAUGE_SECONDS = 1.0
-NO_CELLS = "no placer has told of its cells yet"
-# In an outage of the store no placer is known; short requests are served without.
-INFORMED_SECONDS = 5.0
+GAUGE_INTERVAL_SECONDS = 1.0
+NO_CELLS = "no placer has reported its cells yet"
+# During an outage of the store no placer is known; after this time short requests are
+# served without cell information.
+CELLS_TIMEOUT_SECONDS = 5.0
 
 _log = structlog.get_logger()
 
 
 class DirectoryCheck:
-    """Takes a claim's holder for ended only when the directory says so."""
+    """Treats the holder of a claim as ended only when the directory shows it."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """The parts of an entry beside those that every program has."""
+    """The parts of an entry, including the common ones."""
 
     parts: Parts
     targets: HttpTargets
@@ -69,7 +70,7 @@
 
 
 def make_entry(settings: ProcessSettings, metrics: Metrics) -> Entry:
-    """Build an entry; the settings in force reach its parts as they are read."""
+    """Build an entry whose parts follow the settings in force."""
     parts = make_parts(settings, PROGRAM, metrics)
     record = parts.registration.record
     holder = f"{record.name}/{record.incarnation}"
@@ -99,7 +100,7 @@
 
 
 async def run_entry(settings: ProcessSettings) -> None:
-    """Run one entry until it is told to end."""
+    """Run one entry until SIGTERM or SIGINT."""
     metrics = Metrics(PROGRAM)
     set_up_logs(settings.name, settings.log_level, metrics.count_dropped_line)
     entry = make_entry(settings, metrics)
@@ -119,22 +120,24 @@
         *parts.list_services(),
         entry.dispatcher.run(),
         entry.cells.run(),
-        _measure(parts, entry.dispatcher),
+        _update_gauges(parts, entry.dispatcher),
         _wait_for_cells(parts, entry.cells),
     ]
-    await run_until_told(services, lambda: _drain(entry, runner), lambda: _close(entry))
+    await run_until_signal(
+        services, lambda: _drain(entry, runner), lambda: _close(entry)
+    )
 
 
 async def _drain(entry: Entry, runner: web.AppRunner) -> None:
-    """End without cutting off anybody.
+    """Shut down without interrupting any request.
 
-    The balancer goes on sending until it has looked again. So readiness goes off
-    first (READINESS_OFF_FIRST), requests are served until the balancer must have
-    seen it (LISTEN_WHILE_BALANCER_LAGS), and then the runner's clean-up closes idle
-    connections and waits for those in use (DRAIN_BEFORE_EXIT).
+    The balancer goes on sending until its next readiness check. Readiness is therefore
+    turned off first (READINESS_OFF_FIRST), requests are served until the balancer must
+    have noticed (LISTEN_WHILE_BALANCER_LAGS), and then the runner's `cleanup` closes
+    idle connections and waits for those in use (DRAIN_BEFORE_EXIT).
     """
     parts = entry.parts
-    parts.health.reasons["leaving"] = "the process is ending"
+    parts.health.reasons["leaving"] = "the process is shutting down"
     await parts.registration.announce_leaving()
     await asyncio.sleep(parts.settings.drain_seconds)
     await runner.cleanup()
@@ -147,21 +150,21 @@
 
 
 async def _wait_for_cells(parts: Parts, cells: CellWatch) -> None:
-    """Take traffic once the cells are known, or could not be within some seconds."""
+    """Become ready once the cells are known or `CELLS_TIMEOUT_SECONDS` have passed."""
     parts.health.reasons["cells"] = NO_CELLS
     try:
-        async with asyncio.timeout(INFORMED_SECONDS):
+        async with asyncio.timeout(CELLS_TIMEOUT_SECONDS):
             await cells.informed.wait()
     except TimeoutError:
         _log.warning("cells_unknown")
     del parts.health.reasons["cells"]
 
 
-async def _measure(parts: Parts, dispatcher: Dispatcher) -> None:
+async def _update_gauges(parts: Parts, dispatcher: Dispatcher) -> None:
     while True:
         parts.metrics.state.set({"name": "in_progress"}, dispatcher.in_progress)
         parts.metrics.state.set({"name": "queued"}, len(dispatcher.queue))
-        await asyncio.sleep(GAUGE_SECONDS)
+        await asyncio.sleep(GAUGE_INTERVAL_SECONDS)
 
 
 def main() -> None:
--- a/src/primrosestile/programs/entryapp.py
+++ b/src/primrosestile/programs/entryapp.py
@@ -35,7 +35,7 @@
 from primrosestile.state.settings import Settings
 from primrosestile.state.tenancy import Kind
 
-# Nobody sends one request a million times.
+# No caller sends one request a million times.
 ATTEMPT_DIGITS = 6
 
 _log = structlog.get_logger()
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryParts:
-    """What the routes need."""
+    """The parts that the routes use."""
 
     dispatcher: Dispatcher
     submissions: Submissions
@@ -59,7 +59,7 @@
 
 
 def _read_attempt(request: web.Request) -> int:
-    """Return the caller's count of sendings; 0 when it did not say one."""
+    """Return the caller's attempt number; 0 when it did not send one."""
     text = request.headers.get("X-Attempt", "0")
     if not text.isascii() or not text.isdigit() or len(text) > ATTEMPT_DIGITS:
         raise Failure(ErrorKind.MALFORMED, "X-Attempt must be a whole number")
@@ -77,7 +77,7 @@
 
 
 def make_entry_app(parts: EntryParts) -> web.Application:
-    """Return the routes that callers use."""
+    """Return the application with the routes for callers."""
     app = web.Application(client_max_size=BODY_LIMIT_BYTES)
     routes = _Routes(parts)
     app.router.add_post("/v1/requests", routes.guard(routes.serve_request))
@@ -93,7 +93,7 @@
         self._ids = random.SystemRandom()
 
     def guard(self, handler: Handler) -> Handler:
-        """Turn every failure into the one answer of its kind, logged and counted."""
+        """Turn every failure into the answer of its kind; log and count it."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             request_id = _read_request_id(request)
@@ -106,8 +106,8 @@
                 _log_refusal(failure, request_id)
                 response = answer_failure(failure, request_id)
             except Exception:
-                # A fault of ours: the caller still gets an answer that says so,
-                # and no other caller notices anything.
+                # A bug: the caller gets an internal error, and other requests are
+                # not affected.
                 kind = ErrorKind.INTERNAL.value
                 _log.exception("request_broke", request_id=request_id)
                 response = answer_failure(Failure(ErrorKind.INTERNAL), request_id)
@@ -139,8 +139,8 @@
         check_request_id(request_id, caller.job_class.idempotent)
         order = self._make_order(caller, body, request_id)
         seconds = check_deadline(body.deadline_seconds, caller.job_class)
-        waiting = _make_waiting(caller, order, seconds)
-        answer = await self._parts.dispatcher.answer(order, waiting, attempt)
+        queued = _make_queued_request(caller, order, seconds)
+        answer = await self._parts.dispatcher.answer(order, queued, attempt)
         return web.Response(
             body=answer.body, headers={"X-Request-Id": order.request_id}
         )
@@ -148,7 +148,7 @@
     def _make_order(
         self, caller: Caller, body: RequestBody, request_id: str
     ) -> RequestOrder:
-        """Return what a target will be sent."""
+        """Return the order to send to a target."""
         return RequestOrder(
             request_id=request_id or f"{self._ids.getrandbits(64):016x}",
             organisation=caller.team.organisation,
@@ -159,7 +159,7 @@
         )
 
     async def submit_job(self, request: web.Request) -> web.StreamResponse:
-        """Accept one gang job; it is durable before the answer."""
+        """Accept one gang job; it is stored durably before the answer."""
         rights = self._check_rights(request)
         data = await _read_body(request)
         body = decode_body(data, JobBody)
@@ -168,12 +168,12 @@
         request_id = _read_request_id(request)
         check_request_id(request_id, caller.job_class.idempotent)
         shape = check_job(body, caller)
-        pictures = self._parts.cells.list_pictures(caller.team.organisation, shape)
-        cell = choose_cell(pictures, shape)
+        summaries = self._parts.cells.list_pictures(caller.team.organisation, shape)
+        cell = choose_cell(summaries, shape)
         if cell is None:
             raise Failure(
                 ErrorKind.NEVER_FITS,
-                f"no cell holds {shape.accelerators} by {shape.adjacency.value}",
+                f"no cell fits {shape.accelerators} in one {shape.adjacency.value}",
             )
         spec = make_spec(body, caller, cell, shape)
         fingerprint = compute_fingerprint(body.job_class, data)
@@ -191,18 +191,20 @@
         return record
 
     async def show_job(self, request: web.Request) -> web.StreamResponse:
-        """Show a job's state and the reasons of each step."""
+        """Show a job's state and its history of decisions."""
         return answer_json(await self._find_job(request))
 
     async def cancel_job(self, request: web.Request) -> web.StreamResponse:
-        """Ask for a job's cancellation."""
+        """Request a job's cancellation."""
         record = await self._find_job(request)
         cancelled = await self._parts.submissions.cancel(record.spec.job_id)
         return answer_json(cancelled)
 
 
-def _make_waiting(caller: Caller, order: RequestOrder, seconds: float) -> QueuedRequest:
-    """Return the request as the queue sees it."""
+def _make_queued_request(
+    caller: Caller, order: RequestOrder, seconds: float
+) -> QueuedRequest:
+    """Return the queue's record of a request."""
     now = read_clock()
     return QueuedRequest(
         # Two organisations may choose the same id.
--- a/src/primrosestile/programs/entryrequests.py
+++ b/src/primrosestile/programs/entryrequests.py
@@ -1,7 +1,7 @@
-"""What callers send for short requests and jobs, read and checked.
+"""Parsing and validation of callers' short requests and jobs.
 
-A body that is wrong in any way is refused before it costs more than its reading;
-whatever is accepted here is typed from then on.
+An invalid body is refused before any further work is done for it; later stages get
+typed values only.
 """
 
 from dataclasses import dataclass
@@ -17,11 +17,11 @@
 from primrosestile.state.settings import Settings
 from primrosestile.state.tenancy import Adjacency, JobClass, Kind, Shape, Team
 
-# A target's answer and a request are short; renders travel by their own ways.
+# Requests and answers are short; render data does not pass through the entry.
 BODY_LIMIT_BYTES = 256 * 1024
 PAYLOAD_LIMIT_BYTES = 64 * 1024
 REQUEST_ID_LIMIT = 128
-# The longest that a caller may ask to wait: its connection is held all the while.
+# Maximum deadline of a short request, during which its connection stays open.
 DEADLINE_LIMIT_SECONDS = 600.0
 DECLARED_LIMIT_SECONDS = 30 * 86400.0
 
@@ -29,7 +29,7 @@
 
 
 class RequestBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A short request as a caller sends it."""
+    """The body of a short request."""
 
     team: str
     job_class: str = msgspec.field(name="class")
@@ -38,14 +38,14 @@
 
 
 class ShapeBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A shape as a caller sends it."""
+    """The shape in the body of a gang job."""
 
     accelerators: int
     adjacency: Adjacency = Adjacency.WORKER
 
 
 class JobBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A gang job as a caller sends it."""
+    """The body of a gang job."""
 
     team: str
     job_class: str = msgspec.field(name="class")
@@ -56,17 +56,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Whose request it is, and of which class."""
+    """The team and job class of a request."""
 
     team: Team
     job_class: JobClass
 
 
 def decode_body(data: bytes, form: type[T]) -> T:
-    """Return the request or the job in a body.
+    """Return the decoded body of a request or job.
 
     Raises:
-        Failure: MALFORMED, with the place of the fault.
+        Failure: MALFORMED, with the position of the fault.
     """
     try:
         return msgspec.json.decode(data, type=form)
@@ -81,15 +81,16 @@
 
     Raises:
         Failure: FORBIDDEN for another team than the key's, also for one that does
-            not exist, so that keys can't be used to find out names; UNKNOWN_CLASS.
+            not exist, so that keys can't be used to probe for names; UNKNOWN_CLASS.
     """
     team = view_settings(settings).teams.get(team_name)
     if team is None or not rights.may_act_for(team):
-        raise Failure(ErrorKind.FORBIDDEN, f"the key is not for team {team_name}")
+        raise Failure(ErrorKind.FORBIDDEN, f"the key is not valid for team {team_name}")
     job_class = team.find_class(class_name)
     if job_class is None or job_class.kind is not kind:
         raise Failure(
-            ErrorKind.UNKNOWN_CLASS, f"team {team_name} has no {kind.value} of it"
+            ErrorKind.UNKNOWN_CLASS,
+            f"team {team_name} has no {kind.value} class of that name",
         )
     return Caller(team, job_class)
 
@@ -109,7 +110,7 @@
 
 
 def check_deadline(asked: float | None, job_class: JobClass) -> float:
-    """Return the seconds that the caller will wait.
+    """Return the deadline of a request in seconds from now.
 
     Raises:
         Failure: MALFORMED when it is out of bounds.
@@ -124,7 +125,7 @@
 
 
 def make_spec(body: JobBody, caller: Caller, cell: str, shape: Shape) -> JobSpec:
-    """Return the job that a caller asks for, under a new id."""
+    """Return the requested job with a new id."""
     job_class = caller.job_class
     declared = body.declared_seconds
     return JobSpec(
@@ -142,11 +143,11 @@
 
 
 def check_job(body: JobBody, caller: Caller) -> Shape:
-    """Return the shape of a job.
+    """Check a job and return its shape.
 
     Raises:
-        Failure: MALFORMED for values out of bounds; OVER_QUOTA for a shape that
-            is larger than all that the team may hold.
+        Failure: MALFORMED for values out of bounds, TOO_LARGE for the payload,
+            NEVER_FITS for a shape larger than the team's quota.
     """
     declared = body.declared_seconds
     if declared is not None and not 0.0 < declared <= DECLARED_LIMIT_SECONDS:
--- a/src/primrosestile/programs/logbounds.py
+++ b/src/primrosestile/programs/logbounds.py
@@ -1,7 +1,8 @@
-"""How many lines a process writes each second, and which lines give way to which.
+"""Rate limits for log lines, with separate budgets for outcomes and other lines.
 
-Lines that explain a caller's outcome have a budget of their own: lines about the fleet,
-of which a takeover or a fault writes hundreds at once, never displace them.
+Lines that explain the outcome of a caller's request or job have their own budget, so
+that lines about the fleet, of which a takeover or a fault writes hundreds at once,
+never displace them.
 """
 
 import time
@@ -9,7 +10,7 @@
 
 import structlog
 
-# What became of a request, a job or a run, and why.
+# Events that explain the outcome of a request, a job or a run.
 OUTCOME_EVENTS = frozenset(
     {
         "call_refused",
@@ -46,7 +47,7 @@
     }
 )
 OUTCOME_LINES_PER_SECOND = 2_000
-# Many jobs may start within one second; their lines are written all the same.
+# Many jobs may start within one second, and all their lines must be written.
 OUTCOME_BURST_LINES = 4_000
 OTHER_LINES_PER_SECOND = 400
 
@@ -72,11 +73,11 @@
 
 
 class LineBounds:
-    """A structlog processor that drops lines past the bound of a second.
+    """A structlog processor that drops lines over the rate limit.
 
     Args:
-        count_dropped: Called with the event of each line that is dropped.
-        read_time: A steady clock, in seconds.
+        count_dropped: Called with the event of each dropped line.
+        read_time: A monotonic clock, in seconds.
     """
 
     def __init__(
@@ -93,10 +94,10 @@
     def __call__(
         self, logger: object, method: str, line: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
-        """Return the line; the first one after a loss tells how many were dropped.
+        """Return the line; the first one after a drop carries the number dropped.
 
         Raises:
-            structlog.DropEvent: The line is past the bound.
+            structlog.DropEvent: The line is over the limit.
         """
         event = str(line.get("event", ""))
         budget = self._outcomes if event in OUTCOME_EVENTS else self._others
--- a/src/primrosestile/programs/logs.py
+++ b/src/primrosestile/programs/logs.py
@@ -1,4 +1,4 @@
-"""Structured lines on standard output, bounded and never waited for."""
+"""Set-up of structured, rate-limited log lines on standard output."""
 
 import logging
 import time
@@ -11,10 +11,10 @@
 
 from primrosestile.programs.logbounds import LineBounds
 
-# Every line carries these, so that a search for one id finds every line of it.
+# Present in every line, so that a search for an id finds all its lines.
 LINE_FIELDS = ("request_id", "job_id", "epoch")
 
-# Local variables stay out of traces: they hold callers' tokens and our keys.
+# Tracebacks omit local variables, which hold callers' tokens and our keys.
 _TRACES = structlog.tracebacks.ExceptionDictTransformer(show_locals=False)
 
 
@@ -24,13 +24,13 @@
     count_dropped: Callable[[str], None] = lambda event: None,
     read_time: Callable[[], float] = time.monotonic,
 ) -> None:
-    """Write one JSON object a line to standard output.
+    """Configure logging of one JSON object per line to standard output.
 
     Args:
-        process: Named in every line.
-        count_dropped: Called with the event of each line that the bounds leave out.
-        level: The least level that is written, as structlog names it.
-        read_time: A steady clock, in seconds, by which the bounds count.
+        process: Process name, a field of every line.
+        count_dropped: Called with the event of each line over the rate limit.
+        level: The lowest level that is written, as structlog names it.
+        read_time: A monotonic clock, in seconds, for the rate limits.
     """
     number = logging.getLevelNamesMapping().get(level.upper(), logging.INFO)
     structlog.configure(
@@ -63,7 +63,7 @@
 
 
 def _show_records(value: Any) -> Any:
-    """Return a value with records as text, which leaves out their secrets."""
+    """Return a value with data classes as text, which omits their secrets."""
     if is_dataclass(value):
         return str(value)
     if isinstance(value, Mapping):
--- a/src/primrosestile/programs/metrics.py
+++ b/src/primrosestile/programs/metrics.py
@@ -1,7 +1,6 @@
-"""What every program counts alike.
+"""The metrics of every program.
 
-A module of its own, since a process on the platform needs nothing else of what the
-other programs share.
+They are separate from the other shared code because a node needs only this part of it.
 """
 
 from collections.abc import Mapping
@@ -12,7 +11,7 @@
 
 
 class Metrics:
-    """The counters and times of one process, rendered for Prometheus."""
+    """The metrics of one process, rendered for Prometheus."""
 
     def __init__(self, program: str) -> None:
         self.registry = registry = Registry()
@@ -43,9 +42,9 @@
         self.state = Gauge("state", "Figures of the moment, by name", labels, registry)
 
     def count_dropped_line(self, event: str) -> None:
-        """Count a line of the log that was left out."""
+        """Count a dropped log line."""
         self.lines_dropped.inc({"event": event})
 
     def render(self, accept: list[str]) -> tuple[bytes, Mapping[str, str]]:
-        """Return the page and its headers."""
+        """Return the metrics page and its headers."""
         return render(self.registry, accept)
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -1,4 +1,4 @@
-"""One process a VM: takes in jobs from callers, and schedules when elected."""
+"""The process on each VM: accepts jobs from callers, and schedules when elected."""
 
 import asyncio
 import signal
@@ -29,25 +29,26 @@
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
 from primrosestile.programs.nodecalls import CallerCalls
-from primrosestile.programs.timekeeping import keep_time
+from primrosestile.programs.timekeeping import follow_vm_clock
 from primrosestile.transport.connections import Connections
 
 EXIT_BAD_SETTINGS = 2
-# A request is only judged by a policy that was proved this recently: a version
-# must be in force within 2 s and keys useless within 5 s.
-POLICY_AGE_SHARE_OF_APPLIES = 0.8
-POLICY_AGE_SHARE_OF_REVOKED = 0.5
-# The balancer stops sending after two missed checks of a second each; then
-# connections that are open are served for the rest of this.
-SERVE_ON_SECONDS = 2.2
-# How long what is in progress may take once connections are closed. A call takes
-# 3 s at the most; with the time above that stays within the 6 s to SIGKILL.
-CLOSE_SECONDS = 2.6
-# The largest header line that is read at all; the policy's own bound is checked
-# for each call.
+# Maximum age of the policy that requests are checked against, as shares of the
+# platform's bounds: a version must be in force within 2 s, and a revoked key must be
+# refused within 5 s.
+POLICY_AGE_APPLY_SHARE = 0.8
+POLICY_AGE_REVOKE_SHARE = 0.5
+# The balancer stops sending after two failed checks, one second apart; open
+# connections are served for the rest of this time.
+DRAIN_SECONDS = 2.2
+# Time for calls in progress once connections are closed. A call takes 3 s at most;
+# together with the drain this stays within the 6 s before SIGKILL.
+CLOSE_TIMEOUT_SECONDS = 2.6
+# The largest header line that is read; the policy's lower limit is checked for each
+# call.
 HEADER_LIMIT_BYTES = 65_536
 KEEP_ALIVE_SECONDS = 75.0
-# Where the deploy file says that the metrics are.
+# The metrics port of the deploy file.
 METRICS_PORT = 9464
 
 _log = structlog.get_logger()
@@ -68,8 +69,8 @@
         self._policies = PolicyWatch(
             PlatformPolicies(self._store, self._rejections),
             min(
-                bounds.policy_apply_seconds * POLICY_AGE_SHARE_OF_APPLIES,
-                bounds.key_revoke_seconds * POLICY_AGE_SHARE_OF_REVOKED,
+                bounds.policy_apply_seconds * POLICY_AGE_APPLY_SHARE,
+                bounds.key_revoke_seconds * POLICY_AGE_REVOKE_SHARE,
             ),
         )
         self._calls = CallerCalls(
@@ -82,13 +83,13 @@
             self._store,
             settings.name,
             self._run_term,
-            election_delay=find_election_delay(*self._share),
+            election_delay=find_election_delay(*self._vm_resources),
             address=settings.callers_address,
         )
 
     @property
-    def _share(self) -> tuple[float, float]:
-        """What the VM has, by which it stands for the ownership earlier or later."""
+    def _vm_resources(self) -> tuple[float, float]:
+        """The VM's processor share and link, which set its election delay."""
         return self.settings.processor, self.settings.link
 
     @property
@@ -96,12 +97,12 @@
         return f"{self.settings.ip}:{METRICS_PORT}"
 
     async def run(self) -> None:
-        """Serve until the process is told to end."""
-        told = asyncio.Event()
+        """Serve until SIGTERM or SIGINT."""
+        signalled = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, told.set)
-        loop.add_signal_handler(signal.SIGHUP, self._note_reload)
+            loop.add_signal_handler(number, signalled.set)
+        loop.add_signal_handler(signal.SIGHUP, self._log_reload)
         callers = await _listen(self._calls.answer, self.settings.callers_address)
         ready = await _listen(self._calls.answer_ready, self.settings.ready_address)
         metrics = await _listen(self._answer_metrics, self._metrics_address)
@@ -110,35 +111,38 @@
             address=self.settings.callers_address,
             processor=round(self.settings.processor, 2),
             link=self.settings.link,
-            stands_after=round(find_election_delay(*self._share), 2),
+            stands_after=round(find_election_delay(*self._vm_resources), 2),
         )
         try:
-            await self._serve(told, callers, ready)
+            await self._serve(signalled, callers, ready)
         finally:
             await metrics.cleanup()
             await self._connections.close()
         _log.info("ended")
 
     async def _serve(
-        self, told: asyncio.Event, callers: web.ServerRunner, ready: web.ServerRunner
+        self,
+        signalled: asyncio.Event,
+        callers: web.ServerRunner,
+        ready: web.ServerRunner,
     ) -> None:
         async with asyncio.TaskGroup() as tasks:
             running = [
                 tasks.create_task(self._policies.run()),
-                tasks.create_task(self._stand_for_election()),
-                tasks.create_task(keep_time()),
+                tasks.create_task(self._run_for_election()),
+                tasks.create_task(follow_vm_clock()),
             ]
-            await told.wait()
+            await signalled.wait()
             await self._end(callers, ready)
             for task in running:
                 task.cancel()
 
-    def _note_reload(self) -> None:
-        # Nothing in the file can change for a running process but the seeds, which
-        # are not used: processes find one another through the store.
+    def _log_reload(self) -> None:
+        # Only the seeds in the file may change for a running process, and they are
+        # unused: processes find one another through the store.
         _log.info("settings_reload_asked")
 
-    async def _stand_for_election(self) -> None:
+    async def _run_for_election(self) -> None:
         await self._policies.loaded.wait()
         await self._election.run()
 
@@ -178,7 +182,7 @@
         self._metrics.unreadable.inc(labels)
 
     async def _answer_metrics(self, request: web.BaseRequest) -> web.Response:
-        """Show the counters, and the figures of this moment."""
+        """Answer the metrics, with gauges updated."""
         state = self._metrics.state
         state.set({"name": "policy_age_seconds"}, self._policies.age)
         state.set({"name": "owner"}, float(self._scheduler is not None))
@@ -190,18 +194,18 @@
         return web.Response(body=body, headers=dict(headers))
 
     async def _end(self, callers: web.ServerRunner, ready: web.ServerRunner) -> None:
-        """Hand over, serve what still comes, then close."""
+        """Hand the ownership over while draining, then close."""
         _log.info("ending")
         self._calls.leaving = True
-        serve_on = min(SERVE_ON_SECONDS, self.settings.bounds.stop_grace_seconds / 3)
+        drain_seconds = min(DRAIN_SECONDS, self.settings.bounds.stop_grace_seconds / 3)
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._hand_over(serve_on))
-            await asyncio.sleep(serve_on)
+            tasks.create_task(self._hand_over(drain_seconds))
+            await asyncio.sleep(drain_seconds)
         await callers.cleanup()
         await ready.cleanup()
 
     async def _hand_over(self, seconds: float) -> None:
-        """Give the ownership up; a store that does not answer is not waited for."""
+        """Resign the ownership; stop trying after `seconds`."""
         try:
             async with asyncio.timeout(seconds):
                 await self._election.leave()
@@ -220,7 +224,7 @@
         max_field_size=HEADER_LIMIT_BYTES,
         keepalive_timeout=KEEP_ALIVE_SECONDS,
     )
-    runner = web.ServerRunner(server, shutdown_timeout=CLOSE_SECONDS)
+    runner = web.ServerRunner(server, shutdown_timeout=CLOSE_TIMEOUT_SECONDS)
     await runner.setup()
     site = web.TCPSite(runner, host, int(port), backlog=1024, reuse_address=True)
     await site.start()
@@ -228,7 +232,7 @@
 
 
 def main() -> None:
-    """Run the process until it is told to end."""
+    """Run the process until SIGTERM or SIGINT."""
     try:
         settings = read_settings()
     except SettingsError as error:
--- a/src/primrosestile/programs/nodecalls.py
+++ b/src/primrosestile/programs/nodecalls.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP on the platform: one handler, from a path to its answer."""
+"""The HTTP interface of a node for callers."""
 
 import asyncio
 import math
@@ -22,11 +22,11 @@
 from primrosestile.state.policy import Policy, Queue
 from primrosestile.state.work import Submission
 
-# An answer that comes when the caller has gone is of no use; it is sent this long
-# before the deadline that the caller gave.
+# An answer is sent this long before the caller's deadline, because it is useless once
+# the caller has disconnected.
 ANSWER_MARGIN_SECONDS = 0.15
-# The longest time for one call where the caller gave no deadline.
-LONGEST_SECONDS = 3.0
+# Maximum duration of a call, also the default where the caller gave no deadline.
+MAX_CALL_SECONDS = 3.0
 
 _log = structlog.get_logger()
 
@@ -35,25 +35,25 @@
     """Answers callers.
 
     Attributes:
-        leaving: The process is about to end: the balancer is told not to send
-            more, and connections are closed after their answers.
+        leaving: The process is shutting down: its readiness is off, and connections
+            are closed after their answers.
     """
 
     def __init__(
-        self, submitting: JobSubmissions, policies: PolicyWatch, metrics: Metrics
+        self, submissions: JobSubmissions, policies: PolicyWatch, metrics: Metrics
     ) -> None:
         self._metrics = metrics
-        self._submitting = submitting
+        self._submissions = submissions
         self._policies = policies
         self.leaving = False
 
     async def answer_ready(self, request: web.BaseRequest) -> web.Response:
-        """Tell the balancer whether to send to this process."""
-        good = self._policies.recent and not self.leaving
-        return web.Response(status=200 if good else 503)
+        """Answer the balancer's readiness check."""
+        ready = self._policies.recent and not self.leaving
+        return web.Response(status=200 if ready else 503)
 
     async def answer(self, request: web.BaseRequest) -> web.Response:
-        """Answer one call, whatever becomes of it."""
+        """Answer one call, also when its handling fails."""
         began = read_clock()
         try:
             async with asyncio.timeout(_find_limit(request)):
@@ -67,7 +67,7 @@
             raise
         except Exception:
             _log.exception("call_failed", method=request.method, path=request.path)
-            fault = Failure(ErrorKind.INTERNAL, "an unforeseen fault")
+            fault = Failure(ErrorKind.INTERNAL, "an unexpected error")
             response = _answer_failure(request, fault, began)
         if self.leaving:
             response.force_close()
@@ -84,7 +84,7 @@
         if request.method == "GET" and not rest:
             return await self._answer_pending(queue)
         if not is_job_id(rest):
-            raise Failure(ErrorKind.NOT_FOUND, "the path ends in no job id")
+            raise Failure(ErrorKind.NOT_FOUND, "the path does not end in a job id")
         if request.method == "POST":
             return await self._submit(request, rest)
         if request.method == "GET":
@@ -103,7 +103,7 @@
             organisation = _find_organisation(policy, queue, request)
             return read_submission(body, job_id, queue, organisation, accepted_at)
 
-        submission = await self._submitting.submit(job_id, make)
+        submission = await self._submissions.submit(job_id, make)
         _log.info(
             "job_accepted",
             job_id=job_id,
@@ -114,7 +114,7 @@
         return web.Response(status=200)
 
     async def _answer_state(self, job_id: str, queue: Queue) -> web.Response:
-        state = await self._submitting.read_state(job_id, queue)
+        state = await self._submissions.read_state(job_id, queue)
         if state is None:
             return web.Response(status=410)
         return web.Response(
@@ -124,12 +124,12 @@
     async def _cancel(
         self, job_id: str, queue: Queue, organisation: str
     ) -> web.Response:
-        known = await self._submitting.cancel(job_id, queue, organisation)
+        known = await self._submissions.cancel(job_id, queue, organisation)
         _log.info("cancel_accepted", job_id=job_id, known=known)
         return web.Response(status=200 if known else 410)
 
     async def _answer_pending(self, queue: Queue) -> web.Response:
-        count = await self._submitting.count_pending(queue)
+        count = await self._submissions.count_pending(queue)
         return web.Response(
             body=make_pending_body(count), content_type="application/json"
         )
@@ -138,28 +138,28 @@
 def _find_limit(request: web.BaseRequest) -> float:
     given = request.headers.get(DEADLINE_HEADER, "")
     try:
-        seconds = float(given) / 1000 if given else LONGEST_SECONDS
+        seconds = float(given) / 1000 if given else MAX_CALL_SECONDS
     except ValueError:
-        seconds = LONGEST_SECONDS
-    return max(0.05, min(seconds, LONGEST_SECONDS) - ANSWER_MARGIN_SECONDS)
+        seconds = MAX_CALL_SECONDS
+    return max(0.05, min(seconds, MAX_CALL_SECONDS) - ANSWER_MARGIN_SECONDS)
 
 
 def _find_queue(policy: Policy, request: web.BaseRequest) -> Queue:
     host = request.headers.get("Host", "").partition(":")[0].lower()
     queue = policy.find_queue(host, request.path)
     if queue is None:
-        raise Failure(ErrorKind.NOT_FOUND, "no queue has this host and path")
+        raise Failure(ErrorKind.NOT_FOUND, "no queue for this host and path")
     return queue
 
 
 def _find_organisation(policy: Policy, queue: Queue, request: web.BaseRequest) -> str:
-    """Return whose key the call carries; empty for a public queue without one."""
+    """Return the key's organisation; empty for a public queue without a key."""
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
     organisation = None
     if scheme == KEY_SCHEME:
         organisation = policy.keys.get(key.strip())
     if organisation is None and not queue.public:
-        raise Failure(ErrorKind.UNAUTHENTICATED, "no known key")
+        raise Failure(ErrorKind.UNAUTHENTICATED, "the key is missing or unknown")
     return organisation or ""
 
 
--- a/src/primrosestile/programs/parts.py
+++ b/src/primrosestile/programs/parts.py
@@ -1,7 +1,7 @@
-"""The parts that every program is built from, wired once.
+"""The parts that every program is built from.
 
-Each program has its own lease, registration, picture of the other processes and
-settings in force; what differs between programs is added by their own modules.
+Each process has its own lease, registration, directory of the other processes and
+settings in force; the modules of the programs add the parts in which they differ.
 """
 
 import random
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """What one process is made of."""
+    """The common parts of one process."""
 
     settings: ProcessSettings
     store: GatewayStore
@@ -46,7 +46,7 @@
     metrics: Metrics
 
     def list_services(self) -> list[Awaitable[None]]:
-        """Return the tasks that every program runs."""
+        """Return the services that every program runs."""
         return [
             self.lease.run(),
             self.directory.run(),
@@ -61,7 +61,7 @@
         self.health.reasons.pop("settings", None)
 
     async def close(self) -> None:
-        """Give the lease back and close every connection."""
+        """End the lease and close every connection."""
         await self.lease.end()
         self.peers.close()
         await self.vm_list.close()
@@ -69,13 +69,13 @@
 
 
 class AddressBook:
-    """Addresses of workers, as the settings in force have them."""
+    """The addresses of workers in the settings in force."""
 
     def __init__(self, follower: SettingsFollower) -> None:
         self._follower = follower
 
     def find(self, worker: str) -> str:
-        """Return a worker's address; empty when the settings do not know it."""
+        """Return a worker's address; empty when it is not in the settings."""
         known = view_settings(self._follower.settings).workers.get(worker)
         return known.address if known else ""
 
--- a/src/primrosestile/programs/placer.py
+++ b/src/primrosestile/programs/placer.py
@@ -1,4 +1,4 @@
-"""`primrosestile-placer`: owns cells, places gangs, renews what runs."""
+"""`primrosestile-placer`: owns cells, places gangs and renews their leases."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
     answer_json,
     parse_arguments,
     run_program,
-    run_until_told,
+    run_until_signal,
     start_http,
 )
 from primrosestile.programs.logs import set_up_logs
@@ -32,12 +32,12 @@
 from primrosestile.transport.workers import HttpWorkers, make_workers
 
 PROGRAM = "placer"
-LOST_CHECK_SECONDS = 2.0
+LOST_CHECK_INTERVAL_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Placer:
-    """The parts of a placer beside those that every program has."""
+    """The parts of a placer, including the common ones."""
 
     parts: Parts
     workers: HttpWorkers
@@ -48,7 +48,7 @@
 
 
 def make_placer(settings: ProcessSettings, metrics: Metrics) -> Placer:
-    """Build a placer; the settings in force reach its parts as they are read."""
+    """Build a placer whose parts follow the settings in force."""
     parts = make_parts(settings, PROGRAM, metrics)
     workers = make_workers(AddressBook(parts.follower).find)
     exchange = Exchange(
@@ -102,7 +102,7 @@
 
 
 async def run_placer(settings: ProcessSettings) -> None:
-    """Run one placer until it is told to end."""
+    """Run one placer until SIGTERM or SIGINT."""
     metrics = Metrics(PROGRAM)
     set_up_logs(settings.name, settings.log_level, metrics.count_dropped_line)
     placer = make_placer(settings, metrics)
@@ -114,22 +114,22 @@
         _run_when_ready(placer),
         placer.caretaker.run(),
         placer.exchange.run(),
-        _tell_lost_domains(placer.exchange, placer.ownership),
+        _report_lost_domains(placer.exchange, placer.ownership),
         placer.vms.run(),
     ]
-    await run_until_told(
+    await run_until_signal(
         services, lambda: _drain(placer, runner), lambda: _close(placer)
     )
 
 
 async def _drain(placer: Placer, runner: web.AppRunner) -> None:
-    """Hand the cells over and end; nobody is balanced here, so no lag is waited for.
+    """Hand the cells over; no balancer sends here, so there is no lag to wait for.
 
-    HAND_OVER_BEFORE_EXIT: each cell finishes the starts that it has begun, then
-    gives its key up, and the next owner takes over at once.
+    HAND_OVER_BEFORE_EXIT: each cell finishes the starts in progress and then releases
+    its key, and the next owner takes over at once.
     """
     parts = placer.parts
-    parts.health.reasons["leaving"] = "the process is ending"
+    parts.health.reasons["leaving"] = "the process is shutting down"
     await parts.registration.announce_leaving()
     await placer.ownership.leave()
     await runner.cleanup()
@@ -141,7 +141,7 @@
 
 
 async def _run_when_ready(placer: Placer) -> None:
-    """Own cells once the settings, and who is leaving, are known."""
+    """Own cells once the settings and the leaving VMs are known."""
     await placer.parts.follower.wait_for_first()
     await placer.vms.looked.wait()
     placer.ownership.take_settings(placer.parts.follower.settings)
@@ -162,9 +162,9 @@
     return [each.make_digest("") for each in keepers if each.recovered.is_set()]
 
 
-async def _tell_lost_domains(exchange: Exchange, ownership: Ownership) -> None:
+async def _report_lost_domains(exchange: Exchange, ownership: Ownership) -> None:
     while True:
-        await asyncio.sleep(LOST_CHECK_SECONDS)
+        await asyncio.sleep(LOST_CHECK_INTERVAL_SECONDS)
         lost = exchange.list_lost_domains()
         for keeper in ownership.keepers.values():
             keeper.note_lost(lost)
--- a/src/primrosestile/programs/steward.py
+++ b/src/primrosestile/programs/steward.py
@@ -1,7 +1,7 @@
 """`primrosestile-steward`: settings, their audit trail, and views for operators.
 
-Any number of them may run. They keep nothing, and two that change one path at the
-same moment are told apart by the store's compare-and-swap.
+Any number of stewards may run. They have no state of their own, and the store's
+compare-and-swap detects concurrent changes of one path.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
     add_health_routes,
     parse_arguments,
     run_program,
-    run_until_told,
+    run_until_signal,
     start_http,
 )
 from primrosestile.programs.logs import set_up_logs
@@ -24,7 +24,7 @@
 
 
 async def run_steward(settings: ProcessSettings) -> None:
-    """Run one steward until it is told to end."""
+    """Run one steward until SIGTERM or SIGINT."""
     metrics = Metrics(PROGRAM)
     set_up_logs(settings.name, settings.log_level, metrics.count_dropped_line)
     parts = make_parts(settings, PROGRAM, metrics)
@@ -36,7 +36,7 @@
     runner = await start_http(app, settings.http)
 
     async def drain() -> None:
-        parts.health.reasons["leaving"] = "the process is ending"
+        parts.health.reasons["leaving"] = "the process is shutting down"
         await parts.registration.announce_leaving()
         await asyncio.sleep(settings.drain_seconds)
         await runner.cleanup()
@@ -45,7 +45,7 @@
         await connections.close()
         await parts.close()
 
-    await run_until_told(parts.list_services(), drain, close)
+    await run_until_signal(parts.list_services(), drain, close)
 
 
 def main() -> None:
--- a/src/primrosestile/programs/stewardapp.py
+++ b/src/primrosestile/programs/stewardapp.py
@@ -1,4 +1,4 @@
-"""The steward's web application, put together from its parts."""
+"""The steward's web application."""
 
 from aiohttp import web
 
@@ -19,13 +19,13 @@
     list_records: ListRecords,
     connections: Connections,
 ) -> web.Application:
-    """Return the application that operators use.
+    """Return the application for operators.
 
     Args:
         store: The platform's store.
         follower: The settings in force in this process.
         list_records: Returns the live processes.
-        connections: For asking the other processes.
+        connections: Used for calls to the other processes.
     """
     app = web.Application(
         middlewares=[answer_failures], client_max_size=BODY_LIMIT_BYTES
--- a/src/primrosestile/programs/stewardsettings.py
+++ b/src/primrosestile/programs/stewardsettings.py
@@ -1,9 +1,8 @@
-"""The steward's pages on settings: read, change, history.
+"""The steward's routes for settings: read, change, history.
 
-A change is checked against what stands in the store at that moment and not
-against this process's picture, which may lag: an operator who stores a fleet
-through one steward and its guarantees through another must not be told that the
-fleet is missing.
+A change is checked against the current values in the store and not against this
+process's snapshot, which may lag: an operator who stores a fleet through one steward
+and its guarantees through another must not get an error that the fleet is missing.
 """
 
 import asyncio
@@ -45,7 +44,7 @@
     """The body of a change.
 
     Attributes:
-        revision: The path's revision that the operator has seen; 0 for none.
+        revision: The path's revision that the change is based on; 0 for none.
         value: The new value; null removes a team, or a failure domain's workers.
     """
 
@@ -56,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ShownSetting:
-    """One path as it stands.
+    """The current value of one path.
 
     Attributes:
-        stale: Whether the store did not answer, so that this is the picture of
-            this process and may lag.
+        stale: Whether the store did not answer, so that the value comes from this
+            process's snapshot and may lag.
     """
 
     path: str
@@ -74,8 +73,7 @@
     """The answer to a change.
 
     Attributes:
-        warnings: Faults that now stand because another path was changed at the
-            same moment.
+        warnings: Faults caused by a concurrent change of another path.
     """
 
     path: str
@@ -85,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedChange:
-    """The answer to a change that has faults."""
+    """The answer to a change with faults."""
 
     error: str
     detail: str
@@ -97,14 +95,14 @@
 
 
 class SettingsPages:
-    """Handlers on settings and their history."""
+    """Handlers for settings and their history."""
 
     def __init__(self, store: Store, follower: SettingsFollower) -> None:
         self._store = store
         self._follower = follower
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the pages to an application."""
+        """Add the routes to an application."""
         app.router.add_get("/v1/settings", self.show_all)
         app.router.add_get("/v1/settings/{path:.+}", self.show)
         app.router.add_put("/v1/settings/{path:.+}", self.change)
@@ -135,8 +133,8 @@
         value = bytes(change.value)
         await self._follower.refresh()
         settings = self._follower.settings
-        # In a thread: with a large fleet it takes seconds, in which this process
-        # must go on renewing its lease.
+        # In a thread, because a large fleet takes seconds and this process must keep
+        # renewing its lease.
         faults = await asyncio.to_thread(
             check_change, settings, path, _decode_text(value)
         )
@@ -184,12 +182,11 @@
         return False
 
     async def _find_warnings(self, path: str) -> tuple[Fault, ...]:
-        """Look again after a change, since two paths can't be swapped as one.
+        """Check again after a change, because two paths can't be swapped atomically.
 
-        A fleet may lose a rack in the same moment in which guarantees rise, or in
-        which another operator puts a worker into it: each is checked against the
-        other's value from before. Whichever of the two looks last sees both, and
-        its operator is told.
+        A fleet may lose a rack while another operator raises guarantees or adds a
+        worker to that rack; each change is checked against the other's old value. The
+        steward that checks last sees both changes and warns its operator.
         """
         try:
             await self._follower.refresh()
@@ -232,7 +229,7 @@
     if text is None:
         return None
     if not text.isdecimal() or len(text) > len("2147483647"):
-        raise Failure(ErrorKind.MALFORMED, f"{name} is no whole number")
+        raise Failure(ErrorKind.MALFORMED, f"{name} must be a whole number")
     return int(text)
 
 
--- a/src/primrosestile/programs/stewardviews.py
+++ b/src/primrosestile/programs/stewardviews.py
@@ -1,8 +1,8 @@
-"""The steward's views: who applies which settings, the fleet, why a job waits.
+"""The steward's views: applied settings, the fleet, guarantees, and why a job waits.
 
-Nothing here is kept. Each view asks the running processes at that moment and says
-of each whether it answered. Which processes there are stands in this process's
-directory, so the views work while the store is down, when operators need them most.
+The views keep no state. Each one queries the running processes and reports which of
+them answered. The list of processes comes from this process's directory, so the views
+work during a store outage, when operators need them most.
 """
 
 import asyncio
@@ -26,9 +26,9 @@
 from primrosestile.transport.connections import Connections, FailureKinds
 
 ASK_TIMEOUT_SECONDS = 2.0
-# Asked at once. Each answer is small; the limit keeps one look at the status of a
-# large deployment from being a burst.
-ASK_AT_ONCE = 32
+# Concurrent calls to processes. Each answer is small; the limit prevents a burst when
+# the status of a large deployment is read.
+MAX_CONCURRENT_CALLS = 32
 PLACER = "placer"
 
 ListRecords = Callable[[], Sequence[ProcessRecord]]
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStatus:
-    """How far one process is.
+    """The settings that one process has applied.
 
     Attributes:
-        behind: The applied revision of each path that lags; 0 for none yet.
+        behind: The applied revision of each lagging path; 0 for none yet.
     """
 
     name: str
@@ -54,10 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PathStatus:
-    """How far one path is.
+    """How many processes have applied one path.
 
     Attributes:
-        applied: Processes that have this revision or a later one.
+        applied: Number of processes with this revision or a later one.
     """
 
     path: str
@@ -67,7 +67,7 @@
 
 
 class Views:
-    """Handlers that show what is."""
+    """Handlers that show the current state."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self._follower = follower
         self._list_records = list_records
         self._connections = connections
-        self._asking = asyncio.Semaphore(ASK_AT_ONCE)
+        self._call_slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     def add_routes(self, app: web.Application) -> None:
         """Add the views to an application."""
@@ -90,9 +90,9 @@
         app.router.add_get("/v1/jobs/{job_id}/explain", self.explain_job)
 
     async def show_status(self, request: web.Request) -> web.Response:
-        """Answer which process has applied which revision."""
+        """Answer which revisions each process has applied."""
         self._require_operator(request)
-        # Another steward may have accepted a change that isn't known here yet.
+        # Another steward may have accepted a change that this one has not read yet.
         with contextlib.suppress(Failure):
             await self._follower.refresh()
         revisions = dict(self._follower.revisions)
@@ -129,7 +129,7 @@
         )
 
     async def show_guarantees(self, request: web.Request) -> web.Response:
-        """Answer each guarantee, what is held of it, and whether all can hold."""
+        """Answer each guarantee, its use, and whether all guarantees are feasible."""
         self._require_operator(request)
         settings = self._follower.settings
         held = _count_held(await self._read_cells())
@@ -145,26 +145,26 @@
         )
 
     async def explain_job(self, request: web.Request) -> web.Response:
-        """Answer where a job stands, and why, to its team or an operator."""
+        """Answer a job's state and reasons to its team or an operator."""
         header = request.headers.get("Authorization")
         rights = require_rights(self._follower.settings, header)
         job_id = request.match_info["job_id"]
         entry = await self._store.get(make_job_key(job_id))
         record = None if entry is None else decode_job(entry.value)
-        # Another team's job looks as one that does not exist, so that ids can't
-        # be tried out.
+        # Another team's job is answered like a missing one, so that callers can't
+        # probe for ids.
         if record is None or not rights.may_see(
             record.spec.organisation, record.spec.team
         ):
             raise Failure(ErrorKind.NOT_FOUND, f"there is no job {job_id}")
-        # Why a job waits changes with each pass over the queue. It is not written
-        # into the record each time, so the owner of the cell is asked.
+        # The reason why a job waits changes with each pass over the queue and is not
+        # written to the record, so it is read from the owner of the cell.
         waiting = record.state is JobState.ACCEPTED
         now = await self._find_waiting(job_id) if waiting else None
         return answer_json(explain(record, now))
 
     async def _find_waiting(self, job_id: str) -> Reason | None:
-        """Return why a job waits at this moment; None when nobody says so."""
+        """Return why a job currently waits; None when no cell reports it."""
         for cell in await self._read_cells():
             if job_id in cell.get("waiting", {}):
                 return msgspec.convert(cell["waiting"][job_id], Reason)
@@ -184,9 +184,9 @@
         return await asyncio.gather(*asks)
 
     async def _ask(self, record: ProcessRecord, path: str) -> Any:
-        """Return the answer of one process; None when it gave none."""
+        """Return the answer of one process; None when it did not answer."""
         try:
-            async with self._asking:
+            async with self._call_slots:
                 reply = await self._connections.call(
                     record.http, path, b"", ASK_TIMEOUT_SECONDS, _KINDS, method="GET"
                 )
@@ -235,11 +235,11 @@
 
 
 def explain(record: JobRecord, now: Reason | None = None) -> dict[str, Any]:
-    """Return where a job stands and each reason, as sentences.
+    """Return a job's state and each reason as sentences.
 
     Args:
-        record: As it is stored.
-        now: Why it waits at this moment, if that is known.
+        record: The stored record.
+        now: Why the job currently waits, if known.
     """
     spec = record.spec
     reasons = (*record.history, now) if now else record.history
--- a/src/primrosestile/programs/stories.py
+++ b/src/primrosestile/programs/stories.py
@@ -1,9 +1,9 @@
-"""Which lines of the logs belong to the story of one task.
+"""Selection of the log lines for the timeline of one task.
 
-A task's runs are decided on by the owner, carried out by workers, and taken as gone
-by some proof. Whoever asks why it ran twice needs more than the lines that name it:
-what was believed of the workers that it ran on, and who owned the fleet meanwhile.
-The latter name no task, so they are found by worker and by time.
+The owner decides on a task's runs, workers execute them, and some proof ends them. To
+explain why a task ran twice, the lines that name it are not enough: the owner's view of
+its workers and the changes of ownership in that time are needed as well. Those lines
+name no task, so they are selected by worker and by time.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -12,16 +12,16 @@
 
 Line = Mapping[str, Any]
 
-# Lines of the owner about the fleet, by how their events begin.
+# Prefixes of the events in the owner's lines about the fleet.
 _OWNER_EVENTS = ("ownership_", "fence_refused", "jobs_loaded", "recovery_delayed")
 _WORKER_EVENTS = ("worker_", "look_failed", "runs_given_up")
-# A task's name: job, occurrence, step, and its number in the step.
+# A task's name has four parts: job, occurrence, step, and number in the step.
 _TASK_PARTS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class TaskName:
-    """A task's name in its parts; those of a gang are decided on as position 0."""
+    """The parts of a task's name; a gang is decided on as position 0."""
 
     text: str
     job: str
@@ -30,15 +30,15 @@
 
 
 def parse_task(text: str) -> TaskName | None:
-    """Return the parts of a task's name, or None when it is not one."""
+    """Return the parts of a task's name, or None for any other text."""
     parts = text.split(".")
     if len(parts) != _TASK_PARTS or not all(part.isdigit() for part in parts[1:]):
         return None
     return TaskName(text, parts[0], int(parts[2]), int(parts[3]))
 
 
-def tell_task(lines: Iterable[Line], name: TaskName) -> list[Line]:
-    """Return the lines of a task's story, in the order of their times."""
+def select_task_lines(lines: Iterable[Line], name: TaskName) -> list[Line]:
+    """Return the lines of a task's timeline, ordered by time."""
     ordered = sorted(lines, key=find_time)
     own = [line for line in ordered if _names_task(line, name)]
     if not own:
@@ -49,12 +49,12 @@
         line
         for line in ordered
         if _names_task(line, name)
-        or (begin <= find_time(line) <= end and _tells_of(line, workers))
+        or (begin <= find_time(line) <= end and _concerns_workers(line, workers))
     ]
 
 
 def find_time(line: Line) -> str:
-    """Return when a line was written; such texts sort as their times do."""
+    """Return the timestamp of a line; the texts sort in order of time."""
     return str(line.get("timestamp", ""))
 
 
@@ -64,7 +64,7 @@
     if line.get("job_id") != name.job:
         return False
     if "position" not in line:
-        # The job's own lines: accepted, admitted, cancelled.
+        # Lines about the job itself: accepted, admitted, cancelled.
         return True
     if line.get("step") != name.step:
         return False
@@ -72,18 +72,18 @@
 
 
 def _is_of_gang(line: Line) -> bool:
-    """Whether a decision is one for all tasks of a step."""
+    """Whether a decision applies to all tasks of a step."""
     return max(len(_list_workers(line)), line.get("size", 1)) > 1
 
 
 def _list_workers(line: Line) -> Sequence[str]:
     workers = line.get("workers", ())
-    # In lines about many workers or figures the field is no list of names.
+    # In lines about many workers or counts the field is not a list of names.
     named = workers if isinstance(workers, list) else ()
     return [*named, *([line["worker"]] if "worker" in line else [])]
 
 
-def _tells_of(line: Line, workers: set[str]) -> bool:
+def _concerns_workers(line: Line, workers: set[str]) -> bool:
     event = str(line.get("event", ""))
     if event.startswith(_OWNER_EVENTS):
         return True
--- a/src/primrosestile/programs/timekeeping.py
+++ b/src/primrosestile/programs/timekeeping.py
@@ -1,4 +1,4 @@
-"""Each program follows its VM's time of day, and says so when that was corrected."""
+"""The service that follows the VM's time of day and logs its corrections."""
 
 import structlog
 
@@ -7,10 +7,10 @@
 _log = structlog.get_logger()
 
 
-async def keep_time() -> None:
-    """Follow the VM's time of day until cancelled."""
-    await follow_time_of_day(_note_correction)
+async def follow_vm_clock() -> None:
+    """Adopt changes of the VM's time of day until cancelled."""
+    await follow_time_of_day(_log_correction)
 
 
-def _note_correction(seconds: float) -> None:
+def _log_correction(seconds: float) -> None:
     _log.warning("time_of_day_corrected", seconds=round(seconds, 3))
