--- a/features/doubles/operators.py
+++ b/features/doubles/operators.py
@@ -1,4 +1,4 @@
-"""Operators, a store and processes that follow one team's subtree."""
+"""Simulated operators, a store and processes that follow one team's settings."""
 
 import json
 from dataclasses import dataclass
@@ -30,18 +30,18 @@
     """One operator's change; its comment is unique.
 
     Attributes:
-        told: `done`, or the kind of the refusal; empty while it is under way.
-        not_done: Whether the operator was told that nothing was changed.
+        outcome: `done`, or the kind of the refusal; empty while in progress.
+        not_done: Whether the refusal said that nothing was changed.
     """
 
     comment: str
     expected: int
-    told: str = ""
+    outcome: str = ""
     not_done: bool = False
 
 
 class Subtree:
-    """Everything of one fuzzed run."""
+    """The state of one fuzzed run."""
 
     def __init__(self) -> None:
         self.runner = PausedRunner()
@@ -61,10 +61,10 @@
         for name in FOLLOWERS:
             store = FaultyStore(self.store, self.follower_links[name])
             self.followers[name] = make_follower(store, name)
-            self._note_applied(name)
+            self._record_applied(name)
             SimulatedProcess(name).start(self.followers[name].run())
 
-    def _note_applied(self, name: str) -> None:
+    def _record_applied(self, name: str) -> None:
         follower = self.followers[name]
         follower.add_handler(
             lambda _: self.applied[name].append(follower.revisions.get(PATH, 0))
@@ -80,7 +80,7 @@
         return self.store.read_all().get(make_setting_key(PATH))
 
     def read(self, operator: str) -> None:
-        """Let an operator read the setting, if the store answers."""
+        """Read the setting as an operator; no effect if the store does not answer."""
         self.runner.run(self._read(operator))
 
     async def _read(self, operator: str) -> None:
@@ -94,7 +94,7 @@
         return FaultyStore(self.store, self.operator_links[operator])
 
     def change(self, operator: str, removes: bool) -> None:
-        """Begin a change over what the operator has read; it may take a while."""
+        """Start a change of the revision that the operator has read."""
         number = len(self.changes) + 1
         attempt = Attempt(f"change {number}", self.seen_revisions[operator])
         self.changes.append(attempt)
@@ -111,13 +111,13 @@
             await put_setting(
                 store, PATH, value, attempt.expected, operator, attempt.comment
             )
-            attempt.told = "done"
+            attempt.outcome = "done"
         except Failure as failure:
-            attempt.told = failure.kind.value
+            attempt.outcome = failure.kind.value
             attempt.not_done = failure.not_run
 
     def relay(self, follower: str, place: int) -> None:
-        """Let an old peer hand a follower a value that stood there once."""
+        """Apply an earlier value to a follower, as an outdated peer would relay it."""
         self.runner.run(self._relay(follower, self.seen_values[place]))
 
     async def _relay(self, follower: str, value: bytes) -> None:
@@ -147,13 +147,13 @@
 
 
 def check_followers(subtree: Subtree) -> None:
-    """No process ever goes back to a lower revision."""
+    """Check that no process goes back to a lower revision."""
     for name, revisions in subtree.applied.items():
         assert revisions == sorted(revisions), f"{name} applied {revisions}"
 
 
 def check_operators(subtree: Subtree) -> None:
-    """What operators are told is true, and no change is undone unseen."""
+    """Check that operators get true answers and no change is silently undone."""
     entry = subtree.read_entry()
     assert entry is not None, f"{SETTINGS_PREFIX}{PATH} is gone"
     audit = decode_stored(entry.value).audit
@@ -163,15 +163,15 @@
     revisions = {each.comment: each.revision for each in audit}
     for change in subtree.changes:
         accepted = revisions.get(change.comment)
-        assert change.told != "done" or accepted, f"{change.comment} was not done"
+        assert change.outcome != "done" or accepted, f"{change.comment} was not done"
         assert not (change.not_done and accepted), (
-            f"{change.comment} was told {change.told} and was done"
+            f"{change.comment} was answered {change.outcome} and was done"
         )
         assert accepted in (None, change.expected + 1), f"{change.comment} saw less"
 
 
 def check_in_force(subtree: Subtree) -> None:
-    """With every fault gone, the latest change is in force everywhere."""
+    """Check that the latest change is in force everywhere, without faults."""
     entry = subtree.read_entry()
     assert entry is not None
     latest = decode_stored(entry.value).revision
--- a/features/doubles/processes.py
+++ b/features/doubles/processes.py
@@ -1,9 +1,9 @@
-"""Processes of ours on one paused clock: each can be stopped, resumed and killed.
+"""Simulated processes on one paused clock that can be paused, resumed and killed.
 
-A process that is stopped (SIGSTOP, a paused VM) runs nothing, while time and
-everybody else go on; its timers fire as soon as it runs again. The loop below does
-the same for all tasks of one process: it holds their callbacks back, which is what
-the operating system does to the instructions between any two of them.
+A paused process (SIGSTOP, a paused VM) runs nothing, while time and all other processes
+continue; its timers fire as soon as it runs again. The loop below simulates this for
+all tasks of one process by holding back their callbacks, as the operating system stops
+a process between any two instructions.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 class Running(Enum):
-    """Whether a process runs."""
+    """The state of a process."""
 
     YES = "yes"
     PAUSED = "paused"
@@ -24,7 +24,7 @@
 
 
 class SimulatedProcess:
-    """One process: a name, whether it runs, and what it will do when it does."""
+    """One process: its name, its state and its held callbacks."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -53,7 +53,7 @@
         self.release()
 
     def release(self) -> None:
-        """Run what was held back."""
+        """Run the held callbacks."""
         held, self._held = self._held, []
         for callback in held:
             callback()
@@ -68,15 +68,15 @@
 
 
 def find_process() -> SimulatedProcess | None:
-    """Return the process whose task this is; None outside of all."""
+    """Return the process of the current task; None outside of any process."""
     return _current.get()
 
 
 class ProcessLoop(looptime.LoopTimeEventLoop, asyncio.SelectorEventLoop):
-    """A loop with a paused clock that runs nothing of a process that is stopped."""
+    """A loop with a paused clock that runs no callbacks of a paused process."""
 
     def __init__(self) -> None:
-        # Without empty cycles: nothing outside of the loop is ever waited for.
+        # No empty cycles are needed, because nothing outside of the loop is awaited.
         super().__init__(noop_cycles=0)
         self.ending = False
         self.processes: set[SimulatedProcess] = set()
@@ -140,7 +140,7 @@
 
 
 class PausedRunner:
-    """Runs work on a `ProcessLoop`, and ends everything at the close."""
+    """Runs coroutines on a `ProcessLoop`, and cancels all tasks in `close`."""
 
     def __init__(self) -> None:
         self._loop = ProcessLoop()
@@ -157,7 +157,7 @@
         return self._loop.time()
 
     def close(self) -> None:
-        # Tasks of killed processes can only be cancelled if they still run.
+        # Tasks of killed processes can be cancelled only if their callbacks run.
         self._loop.ending = True
         for process in self._loop.processes:
             process.release()
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Hooks that every feature shares: nothing that a scenario starts outlives it."""
+"""Hooks of all features: everything that a scenario starts is cleaned up after it."""
 
 from typing import Any
 
--- a/features/logs/explaining.feature
+++ b/features/logs/explaining.feature
@@ -1,43 +1,44 @@
-Feature: An engineer finds the cause from a failed request's id
-  The engineer has only the logs of the processes.
+Feature: An engineer finds the cause of a problem from an id and the logs
+  Nothing but the logs of the processes is available.
 
   Scenario: A job was stopped for another organisation's guarantee
-    A caller complains that a patient job took long. Its id leads to the stop, and the
-    stop to the job that gained by it.
-    Given the logs of 3 processes on which a guaranteed job stopped a patient one
-    When the engineer asks for the patient job's id
-    Then the story goes: job accepted, job admitted, run decided, run preempted
-    And the story names the guaranteed job as the one that gained
+    A caller reports that a low-priority job took long. The timeline of its id shows the
+    preemption and the job that got the room.
+    Given the logs of 3 processes on which a guaranteed job stopped a low-priority one
+    When the engineer asks for the low-priority job's id
+    Then the timeline has in order: job accepted, job admitted, run decided, run preempted
+    And the timeline shows the guaranteed job as the one that gets the room
 
   Scenario: A task was started twice
-    A client asks why a task ran a second time. Its name leads to each run, to the proof
-    by which the first was taken as gone, and to what was believed of its worker then.
+    A client asks why a task ran a second time. The timeline of its name shows each run,
+    the proof that ended the first one, and the owner's view of its worker at that time.
     Given the logs of 3 processes on which a worker crashed under a task
     When the engineer asks for that task
-    Then the task's story goes: job admitted, run decided, run started, worker life over, run gone, run decided, run started, run ended
-    And the story names the proof, the fence and the worker's clock
-    And the story leaves out what is of other tasks and workers
+    Then the task's timeline has in order: job admitted, run decided, run started, worker life over, run gone, run decided, run started, run ended
+    And the timeline shows the proof, the fence and the worker's clock
+    And the timeline omits other tasks and their workers
 
-  Scenario: An id that no log knows
-    Given the logs of 3 processes on which a guaranteed job stopped a patient one
+  Scenario: An id that is in no log
+    Given the logs of 3 processes on which a guaranteed job stopped a low-priority one
     When the engineer asks for the id ffffffffffffffff
     Then the engineer is told to give the logs of all processes
 
-  Scenario: A flood of lines is bounded and counted
-    A fault that repeats thousands of times a second would take the processor from
-    callers. What is left out is counted, so that nobody takes silence for health.
+  Scenario: Log lines are rate-limited and dropped ones are counted
+    Guards against a fault that logs thousands of lines a second and takes the processor
+    from callers. Dropped lines are counted, so that missing lines do not look like
+    health.
     When 5000 lines are logged within a second and one in the next
     Then 400 of them are written
-    And the next line says that 4600 were dropped
+    And the next line reports 4600 dropped lines
     And the metrics of the process count 4600 dropped lines of that event
 
-  Scenario: Lines about runs are written however many there are about workers
+  Scenario: Lines about runs are written regardless of the number about workers
     Guards against lines about workers that displace those that explain an outcome.
     When 5000 lines about workers and then 500 about runs are logged within a second
     Then all of those about runs are written
 
   Scenario: A large fleet is taken over with many jobs open
-    Guards against a takeover that can't be explained afterwards, its lines dropped.
+    Guards against a takeover that can't be explained because its lines were dropped.
     Given the log of 2 processes that run 100 jobs of 10 tasks on 270 workers
     When their owner is killed, 30 urgent jobs come and the other one takes over
     Then each decision, start and end of these jobs is logged
@@ -45,6 +46,6 @@
     And the takeover's lines about workers are fewer than 10
 
   Scenario: Logs of a large fleet are searched within seconds
-    Guards against an on-call engineer who waits for the story of one task.
+    Guards against an on-call engineer who waits for the timeline of one task.
     Given the logs of 20 processes with 10000 lines each
-    Then the story of a task in them is told within 5 s
+    Then the timeline of a task in them is collected within 5 s
--- a/features/pages/capacity.feature
+++ b/features/pages/capacity.feature
@@ -1,7 +1,7 @@
-Feature: The capacity page says what was measured
+Feature: The capacity page contains the measured figures
 
-  Someone plans a fleet by the page. If a figure on it were typed in by hand and a
-  later measurement changed it, they would buy too few VMs.
+  Guards against a figure that was typed in by hand and differs from a later
+  measurement: whoever plans a fleet by the page would buy too few VMs.
 
-  Scenario: The page is what the figures make it
-    Then the capacity page equals what the measured figures make
+  Scenario: The page is generated from the figures
+    Then the capacity page equals the one generated from the measured figures
--- a/features/path/operators.feature
+++ b/features/path/operators.feature
@@ -1,13 +1,12 @@
-Feature: Operators see from the command line what happens and why
+Feature: The command line shows what happens and why
 
-  Somebody new to the deployment has only the commands. Whatever they show is read
-  from the running processes, so a command that shows nothing useful in trouble is
-  noticed only then, with work waiting.
+  The commands read everything from the running processes. Guards against a command that
+  shows nothing useful during an incident, when an operator has nothing else.
 
   Background:
     Given an operator and a producer use domeworks on 2 VMs
 
-  Scenario: A newcomer submits jobs, asks why one waits, and cancels
+  Scenario: A producer submits jobs, asks why one waits, and cancels
     When the producer submits renders of 64 accelerators for an hour as FIRST, SECOND and THIRD
     And the producer runs "job submit --team show-production --class wide-render --accelerators 64 --adjacency rack --seconds 1" as FOURTH
     Then "job status FIRST" shows "started" to the producer in the end
@@ -24,14 +23,14 @@
     And "job explain FOURTH" shows "It finished." to the producer in the end
     And "fleet" shows "s (median)" to the operator in the end
 
-  Scenario: A process that stands still is named until it has the settings
-    A VM hangs. It goes on with old settings when it wakes, and an operator who was
-    told that all is well would shut out a team that still gets in.
+  Scenario: A paused process is listed until it has applied the settings
+    Guards against an operator who revokes a team's access and is told that the change
+    is in force everywhere, while a paused VM resumes with the old settings.
     Then "settings status" exits with 0 for the operator in the end
-    When vm-2-entry stands still
+    When vm-2-entry is stopped with SIGSTOP
     And the operator runs "settings edit policy --set queue_limit=77"
     Then "settings status" exits with 10 for the operator in the end
     And the output names vm-2-entry
-    When vm-2-entry goes on
+    When vm-2-entry is continued with SIGCONT
     Then "settings status" exits with 0 for the operator in the end
     And the output does not name vm-2-entry
--- a/features/settings/cli.feature
+++ b/features/settings/cli.feature
@@ -1,7 +1,6 @@
 Feature: The command line answers with a sentence and an exit code
 
-  Scripts act on the exit code, and people on the sentence. A traceback serves
-  neither.
+  Scripts act on the exit code, and people on the sentence; a traceback helps neither.
 
   Scenario Outline: Checking a file needs no connection
     When the command "settings check <file>" is run
@@ -25,7 +24,7 @@
     Then the command exits with 2
     And the command's JSON holds a fault at fleet.workers[0].rack
 
-  Scenario: An operator reads, changes, compares and takes back
+  Scenario: An operator reads, changes, compares and rolls back
     Given a steward for the command line with the operator's token
     When the command "settings get policy" is run
     Then the command's JSON holds a queue_limit of 2000
@@ -49,7 +48,7 @@
     When the command "guarantees" is run
     Then the command shows "producers: 4 x 8 accelerators in one worker"
 
-  Scenario Outline: Each sort of refusal has its exit code
+  Scenario Outline: Each kind of refusal has its exit code
     Given a steward for the command line with the operator's token
     When the command "<command>" is run
     Then the command exits with <code>
@@ -73,15 +72,15 @@
       | settings unknown                                               | 2    |
 
   Scenario: A token that is not valid
-    A key was rotated and the old token is still in use. The operator sees that it is
-    the token, and not the settings.
+    A key was rotated and the old token is still in use. The error must name the token
+    as the cause, not the settings.
     Given a steward for the command line with the token wrong
     When the command "settings get policy" is run
     Then the command exits with 4
     And the command shows "unauthenticated"
 
   Scenario: Two operators edit from one revision
-    The second one to store would wipe out the first one's change without a word.
+    Guards against a second change that silently overwrites the first one.
     Given a steward for the command line with the operator's token
     And the file FILE holds a policy with a queue limit of 9
     When the command "settings put policy FILE --revision 1" is run
@@ -91,7 +90,7 @@
     And the command shows "your change expects 1"
 
   Scenario: An empty store is loaded for the first time
-    No operator's key is in force yet, so the first load goes to the store itself.
+    No operator's key is in force yet, so the first load writes directly to the store.
     Given an empty store behind its gateway
     When the command "settings load examples/thistlegate/settings.json --store STORE" is run
     Then the command exits with 0
@@ -103,7 +102,7 @@
     Then each command's help shows an example
     And each error kind has an exit code that agrees with whether it may have run
 
-  Scenario: A fault of the program is a sentence too
-    When the command line meets an unforeseen fault
+  Scenario: A fault of the program is reported as a sentence too
+    When the command line raises an unexpected exception
     Then the command exits with 1
     And the command shows "fault of the program"
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the command line, run in this process."""
+"""Steps for the command line, run in this process."""
 
 import contextlib
 import io
@@ -29,7 +29,7 @@
 from primrosestile_standin.store_http import make_store_app
 
 ROOT = Path(__file__).parents[2]
-NOTHING_KNOWN = {Exit.FAULT, Exit.UNKNOWN}
+MAY_HAVE_RUN_EXITS = {Exit.FAULT, Exit.UNKNOWN}
 
 
 def run_line(context: Any, line: str) -> None:
@@ -169,11 +169,11 @@
     for kind in ErrorKind:
         code = choose_exit(make_failure_body(Failure(kind)))
         may = ANSWERS[kind].ran is Ran.MAY_HAVE_RUN
-        assert (code in NOTHING_KNOWN) == may, (kind, code)
+        assert (code in MAY_HAVE_RUN_EXITS) == may, (kind, code)
 
 
-@when("the command line meets an unforeseen fault")
-def meet_fault(context: Any) -> None:
+@when("the command line raises an unexpected exception")
+def raise_unexpected(context: Any) -> None:
     errors = io.StringIO()
     with (
         patch.object(cli, "app", side_effect=RuntimeError("unforeseen")),
--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the days of trouble and the command that plays them."""
+"""Steps for the fault scenarios in deploy/days and the command that plays them."""
 
 import tomllib
 from typing import Any
@@ -7,7 +7,7 @@
 from tools.days import DAYS, Outcome, read_output, read_purpose
 
 PRINTED = {
-    "two promises were broken": "rules broken: TWICE 2\nworth 0.645 = whole day\n",
+    "two rules were broken": "rules broken: TWICE 2\nworth 0.645 = whole day\n",
     "nothing was broken": "built in 1.0 s\nworth 0.812 = whole day 0.912\n",
     "the day does not fit": "player: contract health is not open\n",
     "nothing at all": "",
@@ -28,7 +28,7 @@
     context.outcome = Outcome("site", "day", 1, *read_output(PRINTED[happened]))
 
 
-@then("the day is said to be {verdict}")
+@then("the verdict on the day is {verdict}")
 def check_verdict(context: Any, verdict: str) -> None:
     outcome = context.outcome
     found = {
--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -1,4 +1,4 @@
-"""Steps for logs, and for the command that reads them."""
+"""Steps for logs and the command that explains an id from them."""
 
 import asyncio
 import contextlib
@@ -27,16 +27,16 @@
 from primrosestile.state.work import Need
 from primrosestile_standin.fleetscript import Script
 
-PATIENT = "00000000000000b1"
-TWICE = f"{PATIENT}.0.0.1"
-URGENT = "00000000000000c1"
+LOW_PRIORITY_JOB = "00000000000000b1"
+RESTARTED_TASK = f"{LOW_PRIORITY_JOB}.0.0.1"
+GUARANTEED_JOB = "00000000000000c1"
 LazyLogger = type(structlog.get_logger())
-FLOOD = "worker_silent"
+OTHER_EVENT = "worker_silent"
 TASK = {"cpu": 1000, "mem_mb": 1000, "estimate_ms": 60_000}
 
 
-async def play(world: FleetWorld) -> None:
-    """Let a guaranteed job come while a patient one holds the whole fleet."""
+async def run_reclaim(world: FleetWorld) -> None:
+    """Submit a guaranteed job while a low-priority one holds the whole fleet."""
     world.store.put(POLICY_KEY, make_policy(1, guarantees={"domes": 8}))
     for number in range(2):
         world.add_worker(f"w{number}")
@@ -45,17 +45,17 @@
     await asyncio.sleep(2.0)
     world.fleet.default = Script(60.0, Need(1000, 1000, 8))
     steps = [{"count": 2, "gpu": 8, **TASK}]
-    await world.submit("p0", PATIENT, "patient", "post", steps=steps)
+    await world.submit("p0", LOW_PRIORITY_JOB, "patient", "post", steps=steps)
     log = structlog.get_logger()
-    log.info("job_accepted", job_id=PATIENT)
+    log.info("job_accepted", job_id=LOW_PRIORITY_JOB)
     await asyncio.sleep(3.0)
     steps = [{"count": 1, "gpu": 8, **TASK}]
-    await world.submit("p1", URGENT, "urgent", "domes", steps=steps)
+    await world.submit("p1", GUARANTEED_JOB, "urgent", "domes", steps=steps)
     await asyncio.sleep(3.0)
 
 
-async def play_crash(world: FleetWorld) -> None:
-    """Let a worker crash under a task, and serve again beside its former entry."""
+async def run_crash(world: FleetWorld) -> None:
+    """Crash a worker under a task; it serves again with a second entry."""
     world.store.put(POLICY_KEY, make_policy(1))
     for number in range(3):
         world.add_worker(f"w{number}")
@@ -63,42 +63,45 @@
     await asyncio.sleep(2.0)
     world.fleet.default = Script(4.0, Need(1000, 1000, 8))
     steps = [{"count": 2, "gpu": 8, **TASK}]
-    await world.submit("p0", PATIENT, "usual", "post", steps=steps)
+    await world.submit("p0", LOW_PRIORITY_JOB, "usual", "post", steps=steps)
     await asyncio.sleep(1.0)
-    worker = next(each for each in world.fleet.workers.values() if TWICE in each.runs)
+    worker = next(
+        each for each in world.fleet.workers.values() if RESTARTED_TASK in each.runs
+    )
     worker.crash()
     world.add_worker("w9", worker.entry.address)
     await asyncio.sleep(6.0)
 
 
 @given(
-    "the logs of {count:d} processes on which a guaranteed job stopped a patient one"
+    "the logs of {count:d} processes on which a guaranteed job stopped a low-priority"
+    " one"
 )
 def step_logs(context: Any, count: int) -> None:
-    write_logs(context, count, play)
+    write_logs(context, count, run_reclaim)
 
 
 @given("the logs of {count:d} processes on which a worker crashed under a task")
 def step_crash_logs(context: Any, count: int) -> None:
-    write_logs(context, count, play_crash)
+    write_logs(context, count, run_crash)
 
 
 def write_logs(
-    context: Any, count: int, played: Callable[[FleetWorld], Coroutine[Any, Any, None]]
+    context: Any, count: int, run: Callable[[FleetWorld], Coroutine[Any, Any, None]]
 ) -> None:
     output = io.StringIO()
     with contextlib.redirect_stdout(output):
         try:
             set_up_logs("p")
             world = FleetWorld()
-            world.run(played(world))
+            world.run(run(world))
             world.close()
         finally:
             structlog.contextvars.clear_contextvars()
             structlog.reset_defaults()
     folder = tempfile.TemporaryDirectory()
     context.cleanups.append(folder.cleanup)
-    # One process's lines stand in each file, mixed with another program's.
+    # Each file holds some of the lines, mixed with those of another program.
     lines = output.getvalue().splitlines()
     context.files = []
     for number in range(count):
@@ -107,9 +110,9 @@
         context.files.append(str(path))
 
 
-@when("the engineer asks for the patient job's id")
+@when("the engineer asks for the low-priority job's id")
 def step_ask(context: Any) -> None:
-    step_ask_id(context, PATIENT)
+    step_ask_id(context, LOW_PRIORITY_JOB)
 
 
 @when("the engineer asks for the id {job}")
@@ -120,29 +123,29 @@
 
 @when("the engineer asks for that task")
 def step_ask_task(context: Any) -> None:
-    step_ask_id(context, TWICE)
+    step_ask_id(context, RESTARTED_TASK)
 
 
-@then("the story goes: {events}")
-def step_story(context: Any, events: str) -> None:
-    story = context.result.output
-    assert context.result.exit_code == 0, story
-    places = [story.find(each) for each in events.split(", ")]
-    assert -1 not in places, (events, story)
-    assert places == sorted(places), story
+@then("the timeline has in order: {events}")
+def step_timeline(context: Any, events: str) -> None:
+    timeline = context.result.output
+    assert context.result.exit_code == 0, timeline
+    places = [timeline.find(each) for each in events.split(", ")]
+    assert -1 not in places, (events, timeline)
+    assert places == sorted(places), timeline
 
 
-@then("the task's story goes: {events}")
-def step_task_story(context: Any, events: str) -> None:
-    story = context.result.output
-    assert context.result.exit_code == 0, story
+@then("the task's timeline has in order: {events}")
+def step_task_timeline(context: Any, events: str) -> None:
+    timeline = context.result.output
+    assert context.result.exit_code == 0, timeline
     place = 0
     for event in events.split(", "):
-        place = story.find(f": {event} ", place) + 1
-        assert place, (event, events, story)
+        place = timeline.find(f": {event} ", place) + 1
+        assert place, (event, events, timeline)
 
 
-@then("the story names the proof, the fence and the worker's clock")
+@then("the timeline shows the proof, the fence and the worker's clock")
 def step_proof(context: Any) -> None:
     gone = next(
         line for line in context.result.output.splitlines() if "run gone" in line
@@ -151,18 +154,18 @@
         assert each in gone, gone
 
 
-@then("the story leaves out what is of other tasks and workers")
+@then("the timeline omits other tasks and their workers")
 def step_left_out(context: Any) -> None:
-    story = context.result.output
-    assert f"{PATIENT}.0.0.0" not in story, story
+    timeline = context.result.output
+    assert f"{LOW_PRIORITY_JOB}.0.0.0" not in timeline, timeline
     # One worker ran the other task only.
-    named = {each for each in ("w0", "w1", "w2", "w9") if f"worker={each} " in story}
-    assert len(named) == 2, (named, story)
+    named = {each for each in ("w0", "w1", "w2", "w9") if f"worker={each} " in timeline}
+    assert len(named) == 2, (named, timeline)
 
 
-@then("the story names the guaranteed job as the one that gained")
+@then("the timeline shows the guaranteed job as the one that gets the room")
 def step_gainer(context: Any) -> None:
-    assert f"gainer={URGENT}" in context.result.output
+    assert f"gainer={GUARANTEED_JOB}" in context.result.output
 
 
 @then("the engineer is told to give the logs of all processes")
@@ -179,7 +182,7 @@
     context.written = 0
     for _ in range(count):
         with contextlib.suppress(structlog.DropEvent):
-            bound(None, "info", {"event": FLOOD})
+            bound(None, "info", {"event": OTHER_EVENT})
             context.written += 1
     now[0] = 11.0
     context.next = json.loads(json.dumps(bound(None, "info", {})))
@@ -190,7 +193,7 @@
     assert context.written == count == OTHER_LINES_PER_SECOND
 
 
-@then("the next line says that {count:d} were dropped")
+@then("the next line reports {count:d} dropped lines")
 def step_dropped(context: Any, count: int) -> None:
     assert context.next["lines_dropped"] == count
 
@@ -200,7 +203,7 @@
     page, _ = context.metrics.render([])
     lines = page.decode().splitlines()
     (line,) = [each for each in lines if each.startswith("log_lines_dropped_total")]
-    assert f'event="{FLOOD}"' in line and line.endswith(f" {count}"), line
+    assert f'event="{OTHER_EVENT}"' in line and line.endswith(f" {count}"), line
 
 
 @when(
@@ -210,11 +213,11 @@
 def step_both(context: Any, fleet: int, runs: int) -> None:
     dropped: Counter[str] = Counter()
 
-    def note(event: str) -> None:
+    def count_dropped(event: str) -> None:
         dropped[event] += 1
 
-    bound = LineBounds(note, lambda: 10.0)
-    for event, count in ((FLOOD, fleet), ("run_started", runs)):
+    bound = LineBounds(count_dropped, lambda: 10.0)
+    for event, count in ((OTHER_EVENT, fleet), ("run_started", runs)):
         for _ in range(count):
             with contextlib.suppress(structlog.DropEvent):
                 bound(None, "info", {"event": event})
@@ -223,7 +226,7 @@
 
 @then("all of those about runs are written")
 def step_runs_written(context: Any) -> None:
-    assert context.dropped[FLOOD] and not context.dropped["run_started"]
+    assert context.dropped[OTHER_EVENT] and not context.dropped["run_started"]
 
 
 @given(
@@ -277,7 +280,7 @@
 
 
 def run_logged(context: Any, work: Coroutine[Any, Any, None]) -> None:
-    """Run on the paused clock, by which the bounds of the log count as well."""
+    """Run on the paused clock, which the log's rate limits use as well."""
     loop = context.world.runner.get_loop()
     forget_loggers()
     with contextlib.redirect_stdout(context.output):
@@ -291,7 +294,7 @@
 
 
 def forget_loggers() -> None:
-    """Let each module's logger be made anew, with the bounds of this scenario."""
+    """Reset each module's cached logger, so that it uses this scenario's limits."""
     for module in list(sys.modules.values()):
         logger = getattr(module, "_log", None)
         if isinstance(logger, LazyLogger):
@@ -351,9 +354,9 @@
     return json.dumps(line)
 
 
-@then("the story of a task in them is told within {seconds:g} s")
-def step_told_soon(context: Any, seconds: float) -> None:
+@then("the timeline of a task in them is collected within {seconds:g} s")
+def step_collected(context: Any, seconds: float) -> None:
     began = time.monotonic()
-    story = collect_timeline(context.files, f"{7:016x}.0.0.3")
-    assert story
+    timeline = collect_timeline(context.files, f"{7:016x}.0.0.3")
+    assert timeline
     assert time.monotonic() - began < seconds
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the command line against real processes; conditions are waited for."""
+"""Steps for the command line against real processes; they poll for conditions."""
 
 import os
 import shlex
@@ -11,7 +11,7 @@
 from features.steps.path_steps import TEAM, start_deployment
 from tools.launch import Program
 
-# A process that stands still has to stay listed for as long as it is looked for.
+# Longer than the scenario, so that a stopped process stays listed.
 LEASE_SECONDS = 120
 COMMAND = (sys.executable, "-m", "primrosestile.programs.cli")
 
@@ -23,7 +23,7 @@
 
 
 def run(context: Any, who: str, line: str) -> "subprocess.CompletedProcess[str]":
-    """Run a command on the first VM's steward and entry; upper case names a job."""
+    """Run a command against the first VM; upper-case words stand for job ids."""
     programs = context.deployment.vms["vm-1"].programs
     tokens = {
         "operator": context.tokens["operator"],
@@ -88,13 +88,13 @@
     return next(program for program in programs if program.name == name)
 
 
-@when("{name} stands still")
+@when("{name} is stopped with SIGSTOP")
 def stop(context: Any, name: str) -> None:
     find_program(context, name).process.send_signal(signal.SIGSTOP)
 
 
-@when("{name} goes on")
-def go_on(context: Any, name: str) -> None:
+@when("{name} is continued with SIGCONT")
+def resume(context: Any, name: str) -> None:
     find_program(context, name).process.send_signal(signal.SIGCONT)
 
 
--- a/features/steps/pages_steps.py
+++ b/features/steps/pages_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the pages for operators and callers."""
+"""Steps for the documentation pages for operators and callers."""
 
 import json
 import re
@@ -62,14 +62,14 @@
         msgspec.convert(shown, ProcessSettings)
 
 
-LOGGED = re.compile(r"log\.(?:warning|error|exception)\(\s*\"(\w+)\"")
+LOG_CALL = re.compile(r"log\.(?:warning|error|exception)\(\s*\"(\w+)\"")
 
 
 @then("each warning that a program logs stands on docs/OPERATIONS.md, and no other")
 def check_alarms(context: Any) -> None:
     sources = (DOCS.parent / "src" / "primrosestile").rglob("*.py")
-    logged = {name for path in sources for name in LOGGED.findall(path.read_text())}
-    # Named after what was read, so no whole name stands in the source.
+    logged = {name for path in sources for name in LOG_CALL.findall(path.read_text())}
+    # These names are derived from their source, so they are not literals in the code.
     logged |= {f"{source.value}_unreadable" for source in Source}
     _, _, table = (DOCS / "OPERATIONS.md").read_text().partition("## Alarms")
     shown = set(re.findall(r"^\| `(\w+)` \|", table, re.MULTILINE))
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -1,4 +1,4 @@
-"""The whole path on real processes; conditions are waited for, never timed."""
+"""Steps for the whole path on real processes; they poll for conditions."""
 
 import json
 import os
@@ -18,13 +18,13 @@
 
 EXAMPLES = Path("examples")
 TEAM = "show-production"
-HOUR = 3600.0
-CALL_SECONDS = 60.0
+HOUR_SECONDS = 3600.0
+CALL_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What an entry said."""
+    """An answer of an entry."""
 
     status: int
     body: bytes
@@ -34,7 +34,7 @@
 
 
 class Client:
-    """A caller with a team's key, who can reach each entry by its number."""
+    """A caller with a team's key, which addresses entries by number."""
 
     def __init__(self, deployment: Deployment, token: str) -> None:
         self.deployment = deployment
@@ -60,7 +60,9 @@
         for name, value in headers.items():
             request.add_header(name.replace("_", "-"), value)
         try:
-            with urllib.request.urlopen(request, timeout=CALL_SECONDS) as answer:
+            with urllib.request.urlopen(
+                request, timeout=CALL_TIMEOUT_SECONDS
+            ) as answer:
                 return Answer(answer.status, answer.read())
         except urllib.error.HTTPError as error:
             return Answer(error.code, error.read())
@@ -86,7 +88,7 @@
 def start_deployment(
     context: Any, name: str, vms: int, **process_settings: Any
 ) -> None:
-    """Start a deployment that ends with the scenario."""
+    """Start a deployment that is closed at the end of the scenario."""
     settings = read_settings(EXAMPLES / name / "settings.json")
     tokens = json.loads((EXAMPLES / name / "tokens.json").read_text())
     deployment = Deployment(settings, drain_seconds=0.5, **process_settings)
@@ -137,7 +139,7 @@
     context.answer = context.client.ask(entry, "preview", text, "preview-1")
 
 
-@then('the answer is whole and belongs to the preview "{text}"')
+@then('the answer is complete and belongs to the preview "{text}"')
 def check_preview(context: Any, text: str) -> None:
     assert context.answer.status == 200, context.answer
     assert context.answer.body == f"answer to preview-1: {text}".encode()
@@ -204,7 +206,7 @@
 @when("a producer submits a render of an hour and cancels it once it runs")
 def submit_and_cancel(context: Any) -> None:
     client: Client = context.client
-    fields = {"class": "starfield-render", "declared_seconds": HOUR}
+    fields = {"class": "starfield-render", "declared_seconds": HOUR_SECONDS}
     context.job = client.submit(1, "long", **fields)
     client.wait_for_state(context.job, "started")
     answer = client.send(2, "DELETE", f"/v1/jobs/{context.job}")
@@ -233,7 +235,7 @@
 
 
 def run_cli(context: Any, address: str, token: str, revision: int, value: Any) -> None:
-    """Run `primrosestile settings put` as an operator does."""
+    """Run `primrosestile settings put` as an operator."""
     path = context.deployment.folder / "policy.json"
     path.write_text(json.dumps(value))
     command = [sys.executable, "-m", "primrosestile.programs.cli", "settings", "put"]
@@ -262,7 +264,7 @@
     return lambda: call_json("GET", url)["revisions"].get("policy", 0) >= revision
 
 
-WRONG = (
+INVALID = (
     (b"{", {}, "malformed"),
     (b"x" * 300_000, {}, "too_large"),
     ({"team": TEAM, "class": "preview", "colour": "red"}, {}, "malformed"),
@@ -278,28 +280,28 @@
 )
 
 
-@when("callers send every kind of wrong request to entry 1")
-def send_wrong(context: Any) -> None:
+@when("callers send every kind of invalid request to entry 1")
+def send_invalid(context: Any) -> None:
     client: Client = context.client
-    context.wrong = [
+    context.refused = [
         (kind, client.send(1, "POST", "/v1/requests", body, **headers))
-        for body, headers, kind in WRONG
+        for body, headers, kind in INVALID
     ]
     shape = {"accelerators": 100, "adjacency": "worker"}
     body = {"team": TEAM, "class": "starfield-render", "shape": shape}
-    context.wrong.append(("never_fits", client.send(1, "POST", "/v1/jobs", body)))
+    context.refused.append(("never_fits", client.send(1, "POST", "/v1/jobs", body)))
 
 
 @then("each has its own error kind and says that it was not run")
-def check_wrong(context: Any) -> None:
-    for kind, answer in context.wrong:
-        told = answer.read()
-        assert told["error"] == kind, (kind, told)
-        assert told["ran"] == "not run", told
-        assert told["remedy"], told
+def check_invalid(context: Any) -> None:
+    for kind, answer in context.refused:
+        refusal = answer.read()
+        assert refusal["error"] == kind, (kind, refusal)
+        assert refusal["ran"] == "not run", refusal
+        assert refusal["remedy"], refusal
     assert context.deployment.workers.read_ledger().requests == []
 
 
 @then("a preview through entry 1 is answered as before")
-def check_undisturbed(context: Any) -> None:
+def check_unaffected(context: Any) -> None:
     assert context.client.ask(1, "preview", "sky", "after").status == 200
--- a/features/steps/peer_keys_steps.py
+++ b/features/steps/peer_keys_steps.py
@@ -1,4 +1,4 @@
-"""Keys between our own processes, on real processes."""
+"""Steps for the keys between the processes of a deployment, on real processes."""
 
 import asyncio
 from typing import Any
@@ -13,7 +13,7 @@
 from primrosestile.state.process import PeerKeys
 from primrosestile.transport.peers import make_peers
 
-ANSWER_SECONDS = 2.0
+ANSWER_TIMEOUT_SECONDS = 2.0
 
 
 def make_keys() -> PeerKeys:
@@ -32,14 +32,14 @@
     assert placer is not None
     peers = make_peers("stranger", deployment.take_address(), keys)
     try:
-        return await peers.ask(placer.peer, DigestRequest(), ANSWER_SECONDS)
+        return await peers.ask(placer.peer, DigestRequest(), ANSWER_TIMEOUT_SECONDS)
     finally:
         peers.close()
 
 
-@then("each entry has heard from a placer")
-def check_heard(context: Any) -> None:
-    # An entry that heard from no placer says so, once, in its log.
+@then("each entry has an answer from a placer")
+def check_entries(context: Any) -> None:
+    # An entry without an answer from any placer logs this event once.
     for program in context.deployment.list_programs("entry"):
         assert "cells_unknown" not in program.log.read_text()
     answer = asyncio.run(ask_placer(context.deployment, context.keys))
@@ -54,4 +54,4 @@
         except Failure as failure:
             assert failure.kind is ErrorKind.NO_TARGET, failure
         else:
-            raise AssertionError("a stranger was answered")
+            raise AssertionError("a process without the keys was answered")
--- a/features/steps/time_of_day_steps.py
+++ b/features/steps/time_of_day_steps.py
@@ -1,38 +1,38 @@
-"""Steps for the time of day that a process takes from its VM."""
+"""Steps for the time of day that a process reads from its VM."""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 from behave import given, then, when
 
-from primrosestile.clock import CHECK_SECONDS, TimeOfDay
+from primrosestile.clock import CHECK_INTERVAL_SECONDS, TimeOfDay
 
 TRUE_OFFSET = 1_000_000.0
 
 
 @dataclass(slots=True)
 class Vm:
-    """A VM whose clock is wrong by some seconds, and a process on it.
+    """A VM with a clock error, and a process on it.
 
     Attributes:
-        wrong: By how much the VM's clock is ahead, in seconds.
-        now: On the steady clock.
-        errors: How far the process was off, at each check.
+        error: Seconds by which the VM's clock is ahead.
+        now: Time on the monotonic clock, in seconds.
+        errors: The absolute error of the process at each check, in seconds.
     """
 
-    wrong: float
+    error: float
     now: float = 0.0
     errors: list[float] = field(default_factory=list)
     process: TimeOfDay = field(init=False)
 
     def __post_init__(self) -> None:
-        self.process = TimeOfDay(lambda: TRUE_OFFSET + self.wrong)
+        self.process = TimeOfDay(lambda: TRUE_OFFSET + self.error)
 
     def run(self, seconds: float) -> None:
-        """Let time pass, with the checks of the process."""
+        """Advance the time, with the checks of the process."""
         until = self.now + seconds
-        while self.now + CHECK_SECONDS <= until:
-            self.now += CHECK_SECONDS
+        while self.now + CHECK_INTERVAL_SECONDS <= until:
+            self.now += CHECK_INTERVAL_SECONDS
             self.process.check(self.now)
             self.errors.append(abs(self.process.offset - TRUE_OFFSET))
         self.now = until
@@ -51,7 +51,7 @@
 @when("the VM's time of day is set {seconds:g} s later")
 def step_set(context: Any, seconds: float) -> None:
     context.vm.run(seconds)
-    context.vm.wrong = 0.0
+    context.vm.error = 0.0
 
 
 @when("the VM's time of day is {ahead:g} s ahead for {seconds:g} s")
@@ -74,9 +74,9 @@
 
 def jump(vm: Vm, ahead: float, seconds: float) -> None:
     vm.run(7.0)
-    vm.wrong = ahead
+    vm.error = ahead
     vm.run(seconds)
-    vm.wrong = 0.0
+    vm.error = 0.0
 
 
 @then("the process is at most {most:g} s off after {seconds:g} s")
--- a/src/primrosestile/clock.py
+++ b/src/primrosestile/clock.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 
 # Interval between two readings of the VM's time of day.
-CHECK_SECONDS = 5.0
+CHECK_INTERVAL_SECONDS = 5.0
 # A step of the VM's clock that is reverted within this time is ignored.
 STABLE_SECONDS = 60.0
 # Two readings of an unchanged offset differ by less than this.
@@ -83,7 +83,7 @@
         report_correction: Called with each correction, in seconds.
     """
     while True:
-        await asyncio.sleep(CHECK_SECONDS)
+        await asyncio.sleep(CHECK_INTERVAL_SECONDS)
         correction = _time_of_day.check(read_clock())
         if correction:
             report_correction(correction)
