--- a/src/primrosestile/transport/targets.py
+++ b/src/primrosestile/transport/targets.py
@@ -98,8 +98,6 @@
         detail = f"{target} answered with status {reply.status} and without an outcome"
         raise Failure(ErrorKind.OUTCOME_UNKNOWN, detail)
     if "Content-Length" not in reply.headers:
-        raise Failure(
-            ErrorKind.OUTCOME_UNKNOWN, f"the answer of {target} has no Content-Length"
-        )
+        raise Failure(ErrorKind.OUTCOME_UNKNOWN, f"{target} sent no Content-Length")
     leaving = reply.headers.get(control.LEAVING_HEADER) == control.TRUE
     return RequestAnswer(request_id, ran, ok, reply.body, leaving)
