--- a/features/settings/cli.feature
+++ b/features/settings/cli.feature
@@ -15,7 +15,7 @@
       | examples/nothing.json              | 2    |
 
   Scenario: A fault is shown with path, reason and remedy
-    Given a settings file whose first worker stands in rack nowhere
+    Given a settings file whose first worker is in rack nowhere
     When the command "settings check FILE" is run
     Then the command exits with 2
     And the command shows "fleet.workers[0].rack: there is no rack 'nowhere'"
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -89,7 +89,7 @@
     context.file.write_text(json.dumps(value))
 
 
-@given("a settings file whose first worker stands in rack nowhere")
+@given("a settings file whose first worker is in rack nowhere")
 def give_faulty_file(context: Any) -> None:
     document = read_example("domeworks")
     document["fleet"]["workers"][0]["rack"] = "nowhere"
--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -324,8 +324,8 @@
     lines = read_lines(context)
     gained = [n for n, line in enumerate(lines) if line["event"] == "ownership_gained"]
     taken_over = lines[gained[-1] :]
-    told = [line for line in taken_over if line["event"].startswith("worker")]
-    assert 0 < len(told) < most, Counter(line["event"] for line in told)
+    worker_lines = [line for line in taken_over if line["event"].startswith("worker")]
+    assert 0 < len(worker_lines) < most, Counter(line["event"] for line in worker_lines)
 
 
 @given("the logs of {files:d} processes with {count:d} lines each")
