--- a/src/primrosestile/programs/metrics.py
+++ b/src/primrosestile/programs/metrics.py
@@ -1,6 +1,6 @@
 """The metrics of every program.
 
-They are separate from the other shared code because a node needs only this part of it.
+They are separate from `common` because a node uses nothing else of that module.
 """
 
 from collections.abc import Mapping
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -44,8 +44,7 @@
 # Time for calls in progress once connections are closed. A call takes 3 s at most;
 # together with the drain this stays within the 6 s before SIGKILL.
 CLOSE_TIMEOUT_SECONDS = 2.6
-# The largest header line that is read; the policy's lower limit is checked for each
-# call.
+# The largest header line that is read. The policy's own limit is not checked.
 HEADER_LIMIT_BYTES = 65_536
 KEEP_ALIVE_SECONDS = 75.0
 # The metrics port of the deploy file.
--- a/src/primrosestile/programs/placer.py
+++ b/src/primrosestile/programs/placer.py
@@ -141,7 +141,7 @@
 
 
 async def _run_when_ready(placer: Placer) -> None:
-    """Own cells once the settings and the leaving VMs are known."""
+    """Own cells after the first settings and the first try to read the VM list."""
     await placer.parts.follower.wait_for_first()
     await placer.vms.looked.wait()
     placer.ownership.take_settings(placer.parts.follower.settings)
--- a/src/primrosestile/programs/stewardviews.py
+++ b/src/primrosestile/programs/stewardviews.py
@@ -1,8 +1,9 @@
 """The steward's views: applied settings, the fleet, guarantees, and why a job waits.
 
 The views keep no state. Each one queries the running processes and reports which of
-them answered. The list of processes comes from this process's directory, so the views
-work during a store outage, when operators need them most.
+them answered. The list of processes comes from this process's directory, so all views
+but that of a job, which reads its record, work during a store outage, when operators
+need them most.
 """
 
 import asyncio
--- a/src/primrosestile/transport/connections.py
+++ b/src/primrosestile/transport/connections.py
@@ -36,7 +36,7 @@
 SILENT_SECONDS = 1.0
 # Addresses that go silent within this time of one another have one common cause.
 CORRELATED_SECONDS = 10.0
-# No answer of the platform is larger; the limit bounds the memory for other answers.
+# An answer that states a larger length is rejected; none of the platform's is larger.
 ANSWER_LIMIT_BYTES = 16_000_000
 
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A complete answer, as long as its stated length."""
+    """A complete answer."""
 
     status: int
     headers: Mapping[str, str]
@@ -243,7 +243,7 @@
 
 
 def check_length(response: aiohttp.ClientResponse) -> None:
-    """Reject an answer that is too large to hold in memory.
+    """Reject an answer whose stated length is too large to hold in memory.
 
     Raises:
         aiohttp.ClientPayloadError: When the stated length is over the limit.
