--- a/features/doubles/slots.py
+++ b/features/doubles/slots.py
@@ -5,7 +5,7 @@
 from features.doubles.processes import PausedRunner
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.turns import Turns
+from primrosestile.coordination.turns import SlotAssigner
 from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import Outcome, make_router
 from primrosestile.state.tenancy import Policy, Urgency
@@ -27,10 +27,10 @@
         router.set_entries(("e0",))
         router.set_targets({SLOT: 1}, frozenset(), read_clock())
         router.set_grants((SLOT,), {SLOT: 1}, read_clock() + 60.0)
-        self._turns = Turns(make_queue(policy), router)
+        self._assigner = SlotAssigner(make_queue(policy), router)
         self._held = self._make_request("first")
-        assert await self._turns.wait(self._held, frozenset()) == SLOT
-        second = self._turns.wait(self._make_request("second"), frozenset())
+        assert await self._assigner.wait(self._held, frozenset()) == SLOT
+        second = self._assigner.wait(self._make_request("second"), frozenset())
         self._second = asyncio.create_task(second)
         await asyncio.sleep(0)
 
@@ -53,14 +53,14 @@
 
     async def _hang_up_and_end(self) -> None:
         self._second.cancel()
-        self._turns.finish(SLOT, self._held, Outcome.OK, read_clock())
+        self._assigner.finish(SLOT, self._held, Outcome.OK, read_clock())
 
     def take_slot(self) -> str:
         return self._runner.run(self._take_slot())
 
     async def _take_slot(self) -> str:
         async with asyncio.timeout(BOUND_SECONDS):
-            return await self._turns.wait(self._make_request("third"), frozenset())
+            return await self._assigner.wait(self._make_request("third"), frozenset())
 
     def close(self) -> None:
         self._runner.close()
--- a/features/steps/coordination_steps.py
+++ b/features/steps/coordination_steps.py
@@ -9,8 +9,8 @@
 from behave import then, when
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.sending import Sending
-from primrosestile.coordination.turns import Turns
+from primrosestile.coordination.sending import RequestSender
+from primrosestile.coordination.turns import SlotAssigner
 from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import make_router
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder
@@ -39,7 +39,7 @@
         return RequestAnswer(order.request_id, ran=True, ok=True, body=b"")
 
 
-async def send_one(turns: Turns, sending: Sending, number: int) -> None:
+async def send_one(assigner: SlotAssigner, sending: RequestSender, number: int) -> None:
     now = read_clock()
     waiting = QueuedRequest(
         request_id=f"organisation/{number}",
@@ -53,22 +53,22 @@
         expected_seconds=USUAL_SECONDS,
     )
     order = RequestOrder(str(number), "organisation", "quote", True, 0.0, b"")
-    turns.router.note_first_attempt()
-    target = await turns.wait(waiting, frozenset())
+    assigner.router.note_first_attempt()
+    target = await assigner.wait(waiting, frozenset())
     await sending.send_hedged(target, order, waiting)
 
 
 async def send_all(targets: CountingTargets, count: int) -> None:
     policy = Policy(retry_ratio=0.1)
-    turns = Turns(make_queue(policy), make_router("entry", policy))
-    turns.router.set_entries(["entry"])
+    assigner = SlotAssigner(make_queue(policy), make_router("entry", policy))
+    assigner.router.set_entries(["entry"])
     slots = {f"worker-{number}": SLOTS for number in range(TARGETS)}
-    turns.router.set_targets(slots, frozenset(), read_clock())
-    turns.queue.set_slots(TARGETS * SLOTS)
-    sending = Sending(turns, targets)
-    running = asyncio.create_task(turns.run())
+    assigner.router.set_targets(slots, frozenset(), read_clock())
+    assigner.queue.set_slots(TARGETS * SLOTS)
+    sending = RequestSender(assigner, targets)
+    running = asyncio.create_task(assigner.run())
     for number in range(count):
-        await send_one(turns, sending, number)
+        await send_one(assigner, sending, number)
     running.cancel()
 
 
--- a/features/steps/jobbook_steps.py
+++ b/features/steps/jobbook_steps.py
@@ -9,7 +9,7 @@
 from features.settings.doubles import run_paused
 
 from primrosestile.coordination.cellpage import find_completion
-from primrosestile.coordination.jobbook import JobBook, make_job_key
+from primrosestile.coordination.jobbook import JobTable, make_job_key
 from primrosestile.protocol.store import Entry, SwapResult
 from primrosestile.state.jobs import JobRecord, JobSpec, JobState, Member
 from primrosestile.state.tenancy import Shape, Urgency
@@ -79,12 +79,12 @@
 async def run_race(context: Any, act: Any) -> None:
     store = SlowAnswers()
     await store.put(make_job_key(JOB), msgspec.json.encode(context.record), 0)
-    book = context.book = JobBook(store, "malaga-cell-1")
-    await book.load()
-    following = asyncio.create_task(book.follow(lambda record: None))
+    job_table = context.job_table = JobTable(store, "malaga-cell-1")
+    await job_table.load()
+    following = asyncio.create_task(job_table.follow(lambda record: None))
     await asyncio.sleep(WATCH_SECONDS)
     store.slow = True
-    acting = asyncio.create_task(act(book))
+    acting = asyncio.create_task(act(job_table))
     await asyncio.sleep(WATCH_SECONDS)
     await cancel(store)
     context.outcome = await acting
@@ -93,22 +93,22 @@
 
 @when("its cancellation is heard before the answer to the write of the start")
 def race_write(context: Any) -> None:
-    async def write(book: JobBook) -> bool:
-        base = book.find(JOB)
+    async def write(job_table: JobTable) -> bool:
+        base = job_table.find(JOB)
         assert base is not None
-        return await book.write(context.started, base)
+        return await job_table.write(context.started, base)
 
     run_paused(run_race(context, write))
 
 
 @when("its cancellation is heard before the answer to a read of it")
 def race_read(context: Any) -> None:
-    run_paused(run_race(context, lambda book: book.refresh(JOB)))
+    run_paused(run_race(context, lambda job_table: job_table.refresh(JOB)))
 
 
 @then("the owner's copy shows the cancellation")
 def check_copy(context: Any) -> None:
-    record = context.book.find(JOB)
+    record = context.job_table.find(JOB)
     assert record is not None
     assert record.cancel_requested, record
 
@@ -116,7 +116,7 @@
 @then("the write of the start counts as made")
 def check_made(context: Any) -> None:
     assert context.outcome is True
-    assert context.book.find(JOB).state is JobState.STARTED
+    assert context.job_table.find(JOB).state is JobState.STARTED
 
 
 @given("finished jobs of a cell that took 4, 6 and 11 s")
@@ -140,10 +140,10 @@
 
 @when("another process becomes the owner of the cell")
 def become_owner(context: Any) -> None:
-    context.book = JobBook(context.store, CELL)
-    run_paused(context.book.load())
+    context.job_table = JobTable(context.store, CELL)
+    run_paused(context.job_table.load())
 
 
 @then("operators are shown a completion time of {seconds:g} s")
 def check_completion(context: Any, seconds: float) -> None:
-    assert find_completion(context.book) == seconds
+    assert find_completion(context.job_table) == seconds
--- a/src/primrosestile/coordination/actions.py
+++ b/src/primrosestile/coordination/actions.py
@@ -1,9 +1,9 @@
-"""The steps of one gang job: start, evict, lose, end. Each leaves it whole.
+"""Actions on one gang job: start, evict, restart after a loss, end.
 
-Every action marks its job as busy for its length, so that no two of them meet on
-one job, and every write goes over exactly the revision that was decided on. When
-the store is down nothing is written; the worker's next report shows the same
-facts, and the action is taken again.
+Every action marks its job as busy while it runs, so that no two actions work on one
+job, and each write compares the revision that the decision was based on. When the store
+is down nothing is written; the worker's next report shows the same facts, and the
+action is repeated.
 """
 
 import asyncio
@@ -36,20 +36,22 @@
     ReasonCode,
 )
 
-# A job whose start failed waits before it is tried again, longer each time, so
-# that one bad worker or job can't keep the owner and the workers busy.
+# Backoff after a failed start, doubled each time, so that one bad worker or job can't
+# keep the owner and the workers busy.
 START_RETRY_SECONDS = 0.5
 START_RETRY_LIMIT_SECONDS = 30.0
-# A job that failed this often on workers where others succeed is itself at fault.
+# After this many failures on workers where other jobs succeed, the job itself is
+# considered faulty.
 FAILURE_LIMIT = 3
-# After this many it ends as failed wherever it ran. The same worker may have been
-# the best place each time, and then nothing tells the job's fault from the worker's;
-# a job that is tried for ever costs licensed accelerators and helps nobody.
-HOPELESS_LIMIT = 6
-# A job that ends its workers' engines is never reported as failed: each time a member
-# is gone. After so many losses, each this soon after a start, it ends as failed.
+# After this many failures a job ends as failed, on whatever workers they happened. If
+# every attempt is placed on the same worker, a faulty job can't be told from a faulty
+# worker, and endless retries cost licensed accelerators and help nobody.
+TOTAL_FAILURE_LIMIT = 6
+# A job that crashes its workers' engines is never reported as failed: a member is lost
+# each time. It ends as failed after this many losses, each within EARLY_LOSS_SECONDS of
+# a start.
 LOSS_LIMIT = 6
-SOON_SECONDS = 60.0
+EARLY_LOSS_SECONDS = 60.0
 
 _log = structlog.get_logger()
 
@@ -84,7 +86,7 @@
             self._data.contacts[member.worker].renewed_at = read_clock()
 
         async def write() -> bool:
-            return await self._data.book.write(started, record)
+            return await self._data.job_table.write(started, record)
 
         outcome = await start_gang(self._data.command, started, write)
         if outcome.started:
@@ -97,11 +99,11 @@
             await self._put_back(record, outcome)
 
     def _next_attempt(self, record: JobRecord) -> int:
-        """Return a number that no earlier try has used.
+        """Return a number that no earlier attempt has used.
 
         A worker that has stopped a task refuses its id from then on. A start that
-        failed before its record used up its number on every worker that it
-        reached, and an earlier owner's tries show only in workers' reports.
+        failed before its record was written has used its number on every worker that it
+        reached, and an earlier owner's attempts show only in the workers' reports.
         """
         job_id = record.spec.job_id
         seen = [
@@ -116,7 +118,7 @@
         return attempt
 
     async def _put_back(self, record: JobRecord, outcome: StartOutcome) -> None:
-        """Free what a start held that was not recorded, and try again later."""
+        """Release what an unrecorded start held, and retry later."""
         job_id = record.spec.job_id
         self._data.view.release(job_id)
         failures = self._start_failures.get(job_id, 0) + 1
@@ -141,36 +143,35 @@
             self._data.contacts[worker].reachable = False
         self._data.refresh_usable()
         if outcome.stage is Stage.RECORD:
-            # The write may stand although its answer was lost: never told to go,
-            # the job must not be taken for a running one.
+            # The write may have succeeded although its answer was lost. The members
+            # were not told to go, so the record must not show the job as started.
             await self._settle_unstarted(record)
 
     async def _settle_unstarted(self, record: JobRecord) -> None:
         job_id = record.spec.job_id
         while True:
             try:
-                current = await self._data.book.refresh(job_id)
+                current = await self._data.job_table.refresh(job_id)
                 if current is None or current.attempt == record.attempt:
                     return
                 if current.epoch != self._data.command.epoch:
                     return
                 again = replace(current, state=JobState.ACCEPTED, members=())
-                if await self._data.book.write(again, current):
+                if await self._data.job_table.write(again, current):
                     return
             except Failure as failure:
                 _log.info("unstarted_unsettled", job_id=job_id, kind=failure.kind.value)
             await asyncio.sleep(START_RETRY_SECONDS)
 
     async def _stop(self, record: JobRecord) -> list[str]:
-        """Stop an attempt; nothing of it is renewed from now on."""
+        """Stop an attempt and the renewal of its leases."""
         self._data.stopping.add(record.spec.job_id)
         return await stop_gang(self._data.command, record)
 
     async def evict(self, record: JobRecord, code: ReasonCode, detail: str) -> bool:
         """Checkpoint and stop a job so that it can run again; True when done.
 
-        Its accelerators are free afterwards, and it waits again with what it has
-        saved.
+        Its accelerators are free afterwards, and it waits again with its checkpoint.
         """
         if not record.spec.restartable:
             return False
@@ -212,9 +213,9 @@
     async def _has_finished(self, record: JobRecord) -> bool:
         """Whether every member had finished before it was told to stop.
 
-        A job ends between the report that an eviction was decided on and the
-        order to stop. Put back into the queue, it would run to its end a second
-        time; the workers know better.
+        A job may finish between the report that the eviction was based on and the order
+        to stop. Back in the queue it would run a second time, so the workers are asked
+        first.
         """
         command = self._data.command
         task_id = make_task_id(record.spec.job_id, record.attempt)
@@ -231,24 +232,25 @@
         return True
 
     async def _write_and_release(self, record: JobRecord, base: JobRecord) -> bool:
-        written = await self._data.book.write(record, base)
+        written = await self._data.job_table.write(record, base)
         if written:
             self._data.view.release(record.spec.job_id)
             self._data.wake()
         return written
 
     async def _wait_for_lapse(self, unconfirmed: list[str]) -> None:
-        """Wait until tasks that could not be told to stop have stopped.
+        """Wait until the leases of tasks whose stop was not confirmed have lapsed.
 
-        RESTART_AFTER_LAPSE: a job that runs again while a member of its earlier
+        RESTART_AFTER_LAPSE: a job restarted while a member of its earlier attempt still
+            runs would run in two places, the earlier attempt in part.
         attempt still runs would be in two places, and the first one in part.
         """
         if unconfirmed:
-            lapse = self._data.lapse_of(unconfirmed)
+            lapse = self._data.find_lapse_time(unconfirmed)
             await asyncio.sleep(max(0.0, lapse - read_clock()))
 
     async def lose(self, record: JobRecord, missing: tuple[str, ...]) -> None:
-        """Handle a member that is gone: stop the rest, then run again or give up."""
+        """Handle lost members: stop the rest, then restart the job or end it."""
         await self._lose(record, missing, ReasonCode.MEMBER_LOST)
 
     async def _lose(
@@ -261,7 +263,7 @@
             return
         detail = f"on {', '.join(workers)}"
         lasted = read_wall_clock() - record.started_at
-        losses = record.losses + (lasted < SOON_SECONDS)
+        losses = record.losses + (lasted < EARLY_LOSS_SECONDS)
         if record.spec.restartable and losses >= LOSS_LIMIT:
             _log.warning("job_given_up", job_id=record.spec.job_id, losses=losses)
             code = ReasonCode.LOST_EVERYWHERE
@@ -273,7 +275,7 @@
             ).with_reason(make_reason(code, detail))
             await self._write_and_release(waiting, record)
             return
-        # RESTART_ONLY_IF_ALLOWED: it may have run, so it never runs again.
+        # RESTART_ONLY_IF_ALLOWED: it may have run, so it is not restarted.
         await self.end(record, JobState.UNKNOWN, code, detail)
 
     async def end(
@@ -301,7 +303,7 @@
         _log.info("job_ended", job_id=job_id, state=state.value, reason=code.value)
 
     async def finish(self, record: JobRecord) -> None:
-        """End a job whose every member has finished, and learn its run time."""
+        """End a job whose members have all finished, and record its run time."""
         seconds = read_wall_clock() - record.started_at + record.checkpoint
         self._data.run_times.record(make_class_key(record), seconds)
         for member in record.members:
@@ -311,7 +313,7 @@
         await self.end(record, JobState.FINISHED, ReasonCode.FINISHED)
 
     async def fail(self, record: JobRecord, workers: tuple[str, ...]) -> None:
-        """Handle members that failed: stop the rest, then run again or give up."""
+        """Handle failed members: stop the rest, then restart the job or end it."""
         now = read_wall_clock()
         for worker in workers:
             self._data.failures.record(worker, record.spec.job_id, True, now)
@@ -319,7 +321,7 @@
         await self._wait_for_lapse(unconfirmed)
         failures = record.failures + 1
         detail = f"failed on {', '.join(workers)}"
-        given_up = failures >= HOPELESS_LIMIT or (
+        given_up = failures >= TOTAL_FAILURE_LIMIT or (
             failures >= FAILURE_LIMIT
             and self._data.failures.is_bad_job(record.spec.job_id)
         )
@@ -334,7 +336,7 @@
         await self._write_and_release(waiting, record)
 
     async def cancel(self, record: JobRecord) -> None:
-        """End a job whose caller has asked for it."""
+        """End a job whose cancellation was requested."""
         if record.state is JobState.STARTED:
             unconfirmed = await self._stop(record)
             await self._wait_for_lapse(unconfirmed)
@@ -357,7 +359,7 @@
         record: JobRecord,
         action: Coroutine[None, None, object],
     ) -> None:
-        """Run one action in a task of its own; its job is busy from now on."""
+        """Run one action in its own task, with its job marked as busy."""
         self._data.busy.add(record.spec.job_id)
         group.create_task(self._guard(record.spec.job_id, action))
 
@@ -365,8 +367,8 @@
         try:
             await action
         except Failure as failure:
-            # The facts stand as before, on the workers or in the store, so the
-            # next report or pass takes the action again.
+            # The workers' reports or the store still show why the action is needed, so
+            # the next report or pass starts it again.
             _log.warning("job_action_stopped", job_id=job_id, kind=failure.kind.value)
         finally:
             self._data.busy.discard(job_id)
--- a/src/primrosestile/coordination/answering.py
+++ b/src/primrosestile/coordination/answering.py
@@ -1,4 +1,4 @@
-"""Which part of a process answers which kind of message from a peer."""
+"""Routes messages from peers to the handlers of one process."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,14 +15,14 @@
         self._handlers: dict[type, Callable[[Envelope], Awaitable[Body]]] = {}
 
     def add(self, kind: type, handler: Callable[[Envelope], Awaitable[Body]]) -> None:
-        """Let a handler answer one kind of message."""
+        """Register the handler of one kind of message."""
         self._handlers[kind] = handler
 
     async def answer(self, envelope: Envelope) -> Body:
         """Answer one message.
 
         Raises:
-            Failure: MALFORMED for a kind that nobody here answers.
+            Failure: MALFORMED for a kind without a handler.
         """
         if isinstance(envelope.body, Heartbeat):
             return Heartbeat(self._vm, self._is_leaving())
--- a/src/primrosestile/coordination/audit.py
+++ b/src/primrosestile/coordination/audit.py
@@ -1,8 +1,7 @@
-"""Read the audit trail of a path, across the value and the rolled entries.
+"""Reads the audit trail of a path from the value and the rolled entries.
 
-The latest entries stand beside the value and older ones under keys of their own.
-An entry that was being moved when its writer died stands at both places, and a
-reader must show it once.
+The latest entries are stored with the value and older ones under their own keys. An
+entry whose writer died while moving it is stored in both places and is returned once.
 """
 
 from dataclasses import dataclass
@@ -16,7 +15,7 @@
 from primrosestile.protocol.store import Store
 from primrosestile.state.settings import AuditEntry
 
-# One page fits a terminal, and is at most one read beside that of the value.
+# One page fits a terminal and costs at most one read besides that of the value.
 PAGE_LIMIT = 50
 
 
--- a/src/primrosestile/coordination/caretaking.py
+++ b/src/primrosestile/coordination/caretaking.py
@@ -1,11 +1,11 @@
 """Keeps running gangs alive when the store is down and their owner has died.
 
-With the store down nobody can become a cell's owner. If the owner dies as well,
-its workers' leases would lapse and every render in the cell would be lost, although
-nothing is wrong with any of them. So in an outage each placer looks after a few
-cells: it renews what the workers report under the epoch that they report, and
-starts and stops nothing (CARETAKER_ONLY_RENEWS). Several caretakers at once do no
-harm, since renewing twice is renewing once.
+With the store down no process can become a cell's owner. If the owner dies as well, its
+workers' leases would lapse and every render in the cell would be lost, although the
+workers are healthy. So during an outage each placer is the caretaker of a few cells: it
+renews the tasks that the workers report under the epoch that they report, and starts
+and stops nothing (CARETAKER_ONLY_RENEWS). Several caretakers of one cell do no harm,
+since renewals are idempotent.
 """
 
 import asyncio
@@ -23,11 +23,11 @@
 from primrosestile.state.fleet import Cell
 from primrosestile.state.settings import Settings
 
-# Rounds per lease: a caretaker must come by before the lease that the dead owner
-# renewed last has lapsed, and once more in case that visit fails.
-ROUNDS_PER_LEASE = 3
-# How many placers look after one cell. Two may be lost together with the owner,
-# as when a rack goes; more would cost workers more messages than they are worth.
+# A caretaker must poll before the lease that the dead owner renewed last has lapsed,
+# and once more in case that poll fails.
+POLLS_PER_LEASE = 3
+# Two caretakers may be lost together with the owner, as when a rack fails; more than
+# three would cost the workers too many messages.
 CARETAKERS_PER_CELL = 3
 IDLE_SECONDS = 1.0
 
@@ -35,7 +35,7 @@
 
 
 class Caretaker:
-    """Renews, and only renews, cells that this process does not run."""
+    """Renews, and does nothing else, in cells that this process does not run."""
 
     def __init__(
         self,
@@ -56,13 +56,13 @@
         self._lease_seconds = lease_seconds
 
     async def run(self) -> None:
-        """Come by while the store is down, until cancelled."""
+        """Poll the chosen cells while the store is down, until cancelled."""
         while True:
             if not self._lease.store_down:
                 await asyncio.sleep(IDLE_SECONDS)
                 continue
-            await self._visit_cells()
-            pause = self._lease_seconds / ROUNDS_PER_LEASE
+            await self._poll_cells()
+            pause = self._lease_seconds / POLLS_PER_LEASE
             await asyncio.sleep(pause * random.uniform(0.6, 1.0))
 
     def _choose_cells(self) -> list[Cell]:
@@ -76,12 +76,12 @@
             and self._name in rank_placers(name, placers, view)[:CARETAKERS_PER_CELL]
         ]
 
-    async def _visit_cells(self) -> None:
+    async def _poll_cells(self) -> None:
         async with asyncio.TaskGroup() as group:
             for cell in self._choose_cells():
-                group.create_task(self._visit(cell))
+                group.create_task(self._poll_cell(cell))
 
-    async def _visit(self, cell: Cell) -> None:
+    async def _poll_cell(self, cell: Cell) -> None:
         reports = await self._collect(cell)
         running = count_running(reports)
         async with asyncio.TaskGroup() as group:
@@ -123,7 +123,7 @@
 
 
 def count_running(reports: list[WorkerReport]) -> dict[str, int]:
-    """Return on how many workers each task runs."""
+    """Return the number of workers on which each task runs."""
     running: dict[str, int] = {}
     for report in reports:
         for task in report.tasks:
@@ -133,9 +133,10 @@
 
 
 def choose_renewable(report: WorkerReport, running: dict[str, int]) -> list[str]:
-    """Return the tasks of one worker whose gang runs whole.
+    """Return the tasks of one worker whose gang is complete.
 
-    CARETAKER_RENEWS_WHOLE: a gang that has lost a member must lapse; there is
+    CARETAKER_RENEWS_WHOLE: a gang that has lost a member must lapse, since there is no
+        owner to stop its other members.
     nobody who could stop the rest of it.
     """
     return [
--- a/src/primrosestile/coordination/cell.py
+++ b/src/primrosestile/coordination/cell.py
@@ -1,4 +1,4 @@
-"""One owned cell, from taking it over to handing it on."""
+"""Runs one owned cell from its recovery to its hand-over."""
 
 import asyncio
 from collections import Counter
@@ -11,12 +11,12 @@
 from primrosestile.coordination.actions import JobActions
 from primrosestile.coordination.celldata import CellData, Contact
 from primrosestile.coordination.cellpage import CellPage, describe_cell
-from primrosestile.coordination.following import Following
+from primrosestile.coordination.following import WorkerPoller
 from primrosestile.coordination.gangs import Command, go_gang
-from primrosestile.coordination.jobbook import JobBook
-from primrosestile.coordination.placing import Elsewhere, Placing
+from primrosestile.coordination.jobbook import JobTable
+from primrosestile.coordination.placing import CellPlacement, OtherCells
 from primrosestile.coordination.reconciling import Recovery, decide_recovery
-from primrosestile.coordination.slotsharing import SlotSharing
+from primrosestile.coordination.slotsharing import SlotGrants
 from primrosestile.decisions.cell import CellView
 from primrosestile.decisions.quarantine import make_ledger
 from primrosestile.decisions.run_times import RunTimes
@@ -30,8 +30,8 @@
 from primrosestile.state.settings import Settings
 from primrosestile.state.tenancy import Shape
 
-# Reports asked for at once during a take-over. Each costs about a millisecond of
-# processor; without a limit a cell of 128 workers would stall everything else.
+# Concurrent report calls during a recovery. Each costs about a millisecond of processor
+# time; without a limit a cell of 128 workers would block the event loop.
 RECOVERY_CONCURRENCY = 32
 HOUSEKEEPING_SECONDS = 1.0
 RECOVERY_RETRY_SECONDS = 0.5
@@ -48,8 +48,8 @@
         store: Store,
         command: Command,
         read_settings: Callable[[], Settings],
-        elsewhere: Elsewhere,
-        count_followed: Callable[[], int],
+        other_cells: OtherCells,
+        count_polled: Callable[[], int],
         count_used_elsewhere: Callable[[], Counter[str]],
     ) -> None:
         self.cell = cell
@@ -62,13 +62,13 @@
             command,
             read_settings,
             self._wake,
-            count_followed,
+            count_polled,
             count_used_elsewhere,
         )
         self._actions = JobActions(self._data)
-        self._placing = Placing(self._data, self._actions, store, elsewhere)
-        self._following = Following(self._data, self._actions)
-        self._sharing = SlotSharing()
+        self._placement = CellPlacement(self._data, self._actions, store, other_cells)
+        self._poller = WorkerPoller(self._data, self._actions)
+        self._slot_grants = SlotGrants()
 
     @property
     def epoch(self) -> int:
@@ -78,7 +78,7 @@
     @property
     def superseded(self) -> asyncio.Event:
         """Set once a worker has seen a higher epoch."""
-        return self._following.superseded
+        return self._poller.superseded
 
     @property
     def worker_count(self) -> int:
@@ -86,33 +86,33 @@
         return len(self._data.contacts)
 
     def needs_restart(self, settings: Settings) -> bool:
-        """Whether the cell's workers or promises are others by now."""
+        """Whether the cell's workers or guaranteed shapes have changed."""
         return _collect_inputs(settings, self.cell.name) != self._inputs
 
     def _wake(self) -> None:
-        self._placing.wake()
+        self._placement.wake()
 
     async def run(self) -> None:
-        """Take the cell over, then run it until cancelled."""
+        """Recover the cell, then run it until cancelled."""
         await self._recover()
         async with asyncio.TaskGroup() as group:
             for name in self._data.contacts:
-                group.create_task(self._following.follow(group, name))
-            group.create_task(self._data.book.follow(lambda record: self._wake()))
-            group.create_task(self._placing.run())
-            group.create_task(self._keep_house())
+                group.create_task(self._poller.follow(group, name))
+            group.create_task(self._data.job_table.follow(lambda record: self._wake()))
+            group.create_task(self._placement.run())
+            group.create_task(self._run_housekeeping())
 
     async def _recover(self) -> None:
-        """Fence the workers, read the records, and make the two agree."""
+        """Fence the workers, read the records and reconcile the two."""
         while True:
             try:
                 reports = await self._collect_reports()
-                await self._data.book.load()
+                await self._data.job_table.load()
                 break
             except Failure as failure:
                 _log.warning("recovery_failed", cell=self.cell.name, kind=failure.kind)
             await asyncio.sleep(RECOVERY_RETRY_SECONDS)
-        recovery = decide_recovery(self._data.book, reports)
+        recovery = decide_recovery(self._data.job_table, reports)
         await self._carry_out(recovery)
         self._data.refresh_usable()
         self.recovered.set()
@@ -140,8 +140,7 @@
     async def _collect_report(self, contact: Contact, limit: asyncio.Semaphore) -> None:
         command = self._data.command
         async with limit:
-            # A worker that can't be reached may have been renewed by the owner
-            # before us until just now.
+            # The previous owner may have renewed an unreachable worker until just now.
             contact.renewed_at = contact.report_at = read_clock()
             try:
                 contact.report = await command.workers.report(
@@ -161,7 +160,7 @@
                     orphan.worker, command.cell, command.epoch, orphan.task_id
                 )
             except Failure as failure:
-                # Its lease lapses, since nobody renews it; until then the worker
+                # Its lease lapses, since no process renews it; until then the worker
                 # refuses whatever is placed on the same accelerators.
                 _log.warning(
                     "orphan_not_stopped",
@@ -185,13 +184,13 @@
                     kind=failure.kind.value,
                 )
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
             self._decide_quarantine()
             if self._data.command.may_act():
                 try:
-                    await self._data.book.forget_old(read_wall_clock())
+                    await self._data.job_table.remove_expired(read_wall_clock())
                 except Failure as failure:
                     _log.info("old_jobs_kept", kind=failure.kind.value)
 
@@ -210,29 +209,30 @@
                 self._data.refresh_usable()
 
     async def drain(self) -> None:
-        """Decide nothing new, and wait until every action under way has ended.
+        """Stop deciding, and wait until all actions have ended.
 
-        HAND_OVER_BEFORE_EXIT: a start cut off between its record and its last go
+        HAND_OVER_BEFORE_EXIT: a start interrupted between its record and its last `go`
+            would leave an incomplete gang until the next owner has recovered the cell.
         would leave a gang in part until the next owner has recovered.
         """
-        self._placing.close()
-        await self._placing.wait_until_idle()
+        self._placement.close()
+        await self._placement.wait_until_idle()
 
     def note_lost(self, domains: frozenset[str]) -> None:
-        """Take over promises of failure domains that are lost."""
+        """Take over guarantees of lost failure domains."""
         settings = self._read_settings()
         promised = view_settings(settings).find_guaranteed_shapes(domains)
         self._data.view.set_promised(promised.get(self.cell.name, ()))
 
     def note_listed(self, leaving: frozenset[str]) -> None:
-        """Take in which workers the VM list shows as leaving."""
+        """Record which workers the VM list shows as leaving."""
         for name, contact in self._data.contacts.items():
             contact.listed_leaving = name in leaving
         self._data.refresh_usable()
 
     def note_demand(self, report: DemandReport) -> None:
-        """Take in an entry's need of slots, and how its requests fared."""
-        self._sharing.note(report)
+        """Record an entry's demand for slots and the outcomes of its requests."""
+        self._slot_grants.note(report)
         now = read_wall_clock()
         subject = f"requests of {report.entry}"
         for outcomes, failed in ((report.failures, True), (report.successes, False)):
@@ -245,19 +245,19 @@
         return self._data.count_used_here()
 
     def make_digest(self, entry: str) -> CellDigest:
-        """Return what one entry needs to know of this cell."""
+        """Return the digest of this cell for one entry."""
         contacts = self._data.contacts
-        granted = self._sharing.grant(contacts.values())
+        granted = self._slot_grants.grant(contacts.values())
         return CellDigest(
             cell=self.cell.name,
             epoch=self.epoch,
             free=self._data.view.free,
             used=self._data.count_used_here(),
             slots=granted.get(entry, {}),
-            seconds=self._sharing.seconds_left(entry),
+            seconds=self._slot_grants.seconds_left(entry),
             leaving=tuple(n for n, each in contacts.items() if each.leaving),
             quarantined=tuple(n for n, each in contacts.items() if each.quarantined),
-            waiting=self._data.book.count_in(JobState.ACCEPTED),
+            waiting=self._data.job_table.count_in(JobState.ACCEPTED),
         )
 
     def describe(self) -> CellPage:
@@ -267,7 +267,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Inputs:
-    """What a cell is built from; the policy is read anew at each decision."""
+    """Settings that a cell is built from; the policy is read at each decision."""
 
     workers: tuple[Worker, ...]
     promised: tuple[tuple[str, Shape], ...]
@@ -286,14 +286,14 @@
     command: Command,
     read_settings: Callable[[], Settings],
     wake: Callable[[], None],
-    count_followed: Callable[[], int],
+    count_polled: Callable[[], int],
     count_used_elsewhere: Callable[[], Counter[str]],
 ) -> CellData:
     inputs = _collect_inputs(read_settings(), cell.name)
     return CellData(
         name=cell.name,
         command=command,
-        book=JobBook(store, cell.name),
+        job_table=JobTable(store, cell.name),
         view=CellView(inputs.workers, inputs.promised),
         contacts={worker.name: Contact(worker) for worker in inputs.workers},
         read_policy=lambda: read_settings().policy,
@@ -301,12 +301,12 @@
         run_times=RunTimes(),
         failures=make_ledger(read_settings().policy),
         wake=wake,
-        count_followed=count_followed,
+        count_polled=count_polled,
         count_used_elsewhere=count_used_elsewhere,
     )
 
 
 def _read_quota(settings: Settings, name: str) -> int:
-    """Return a team's quota; a team that was removed starts nothing more."""
+    """Return a team's quota; 0 for a removed team, which starts nothing more."""
     team = view_settings(settings).teams.get(name)
     return team.quota_accelerators if team else 0
--- a/src/primrosestile/coordination/celldata.py
+++ b/src/primrosestile/coordination/celldata.py
@@ -1,8 +1,8 @@
-"""What the parts of one owned cell share.
+"""State shared by the modules that run one owned cell.
 
-Placing, following and recovering a cell are separate modules; they meet in this
-one picture, which lives in a single event loop, so each of them may read and
-change it between two awaits without a lock.
+Placement, worker polls and recovery are separate modules that share this state. It
+belongs to a single event loop, so each of them may read and change it between two
+awaits without a lock.
 """
 
 from collections import Counter
@@ -11,7 +11,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.gangs import Command
-from primrosestile.coordination.jobbook import JobBook
+from primrosestile.coordination.jobbook import JobTable
 from primrosestile.decisions.cell import CellView, Demand, Holding
 from primrosestile.decisions.quarantine import FailureLedger
 from primrosestile.decisions.run_times import RunTimes
@@ -20,13 +20,13 @@
 from primrosestile.state.jobs import JobRecord, Member, Reason
 from primrosestile.state.tenancy import Policy
 
-# The share of its kind that has ended by the time at which a job is expected to.
+# A job is expected to end when this share of the runs of its class has ended.
 END_QUANTILE = 0.5
 
 
 @dataclass(slots=True)
 class Contact:
-    """What is known of one worker, and since when.
+    """The latest known state of one worker, and when it was read.
 
     Attributes:
         reachable: Whether the latest call was answered.
@@ -34,7 +34,7 @@
             no lease there can outlive this by more than its time to live.
         report_at: Loop time at which the latest report was asked for.
         listed_leaving: Whether the VM list shows it as leaving.
-        quarantined: Whether it gets no work but canaries.
+        quarantined: Whether it gets only canary runs.
         wants_canary: Whether one run of idempotent work may be tried there now.
     """
 
@@ -49,23 +49,24 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the list or the worker itself says that it is leaving.
+        """Whether the VM list or the worker itself reports that it is leaving.
 
-        LEAVING_FROM_EITHER_SOURCE: the list lags, and a worker that is cut off
+        LEAVING_FROM_EITHER_SOURCE: the list lags, and a partitioned worker can't report
+            to us; either source is enough.
         from us can't say so; either of the two is enough.
         """
         return self.listed_leaving or (self.report is not None and self.report.leaving)
 
     @property
     def is_canary(self) -> bool:
-        """Whether it gets work only to see whether it is well."""
+        """Whether it may get a canary run while in quarantine."""
         return self.quarantined and self.wants_canary
 
     @property
     def usable(self) -> bool:
         """Whether new work may be placed there."""
-        rested = not self.quarantined or self.wants_canary
-        return self.reachable and not self.leaving and rested
+        accepts_work = not self.quarantined or self.wants_canary
+        return self.reachable and not self.leaving and accepts_work
 
 
 @dataclass(slots=True)
@@ -74,23 +75,23 @@
 
     Attributes:
         command: Authority over its workers, with the epoch.
-        book: Its job records.
-        view: Who holds which accelerators.
+        job_table: Its job records.
+        view: Which job holds which accelerators.
         contacts: Its workers by name.
-        count_used_elsewhere: Says what each team holds in other cells.
-        count_followed: Says how many workers this process follows in all cells.
-        busy: Jobs that an action is under way for; no other one touches them.
-        stopping: Those among them whose attempt is being stopped; their leases
-            are not renewed, or a member that can't be told to stop would run on
+        count_used_elsewhere: Returns what each team holds in other cells.
+        count_polled: Returns how many workers this process polls in all cells.
+        busy: Jobs with an action in progress; no other action starts on them.
+        stopping: Busy jobs whose attempt is being stopped. Their leases are not
+            renewed, since otherwise a member that can't be told to stop would run on
             beside the next attempt.
         waiting_reasons: The latest reason of each job that waits.
-        retry_at: Loop time before which a job is not tried again.
+        retry_at: Loop time before which a job is not started again.
         started_at: Loop time at which the latest start of a job was complete.
     """
 
     name: str
     command: Command
-    book: JobBook
+    job_table: JobTable
     view: CellView
     contacts: dict[str, Contact]
     read_policy: Callable[[], Policy]
@@ -98,7 +99,7 @@
     run_times: RunTimes
     failures: FailureLedger
     wake: Callable[[], None]
-    count_followed: Callable[[], int]
+    count_polled: Callable[[], int]
     count_used_elsewhere: Callable[[], Counter[str]]
     busy: set[str] = field(default_factory=set)
     stopping: set[str] = field(default_factory=set)
@@ -120,10 +121,10 @@
     def count_used(self) -> Counter[str]:
         """Return the accelerators that each team holds, over all cells.
 
-        Cells of this process are counted as they stand. What a team holds under
-        other owners is known to a few seconds; cells of two owners that place at
-        the same moment can overshoot its quota by one job each. The quota bounds
-        cost, not safety, and an exact count would need a write for each start.
+        Cells of this process are counted exactly. Usage under other owners may be a few
+        seconds old, so two owners that place at the same moment can exceed a team's
+        quota by one job each. The quota bounds cost, not safety, and an exact count
+        would need a write for each start.
         """
         used = Counter(self.count_used_elsewhere())
         used.update(self.count_used_here())
@@ -137,17 +138,17 @@
         return used
 
     def may_try(self, job_id: str) -> bool:
-        """Whether a waiting job may be tried now."""
+        """Whether the retry delay of a waiting job has passed."""
         return read_clock() >= self.retry_at.get(job_id, 0.0)
 
-    def lapse_of(self, workers: Sequence[str]) -> float:
+    def find_lapse_time(self, workers: Sequence[str]) -> float:
         """Return the loop time by which leases on these workers have lapsed."""
         renewed = [self.contacts[name].renewed_at for name in workers]
         return max(renewed, default=0.0) + self.command.lease_seconds
 
 
 def make_class_key(record: JobRecord) -> str:
-    """Return the name under which run times of such jobs are learned."""
+    """Return the key under which run times of the job's class are measured."""
     return f"{record.spec.team}/{record.spec.job_class}"
 
 
--- a/src/primrosestile/coordination/cellpage.py
+++ b/src/primrosestile/coordination/cellpage.py
@@ -1,16 +1,16 @@
-"""One cell as operators see it: what is free, held, borrowed, and why work waits."""
+"""The operators' view of one cell: free, held and reclaimable, and why jobs wait."""
 
 import heapq
 from dataclasses import dataclass
 from statistics import median
 
 from primrosestile.coordination.celldata import CellData
-from primrosestile.coordination.jobbook import JobBook
+from primrosestile.coordination.jobbook import JobTable
 from primrosestile.decisions.fragmentation import measure_fragmentation
 from primrosestile.state.jobs import JobState, Member, Reason
 
-# Jobs over which the completion time of a cell is taken: a night's, for operators.
-COMPLETIONS = 200
+# The completion time is the median of this many jobs, about a night's.
+COMPLETION_SAMPLE_SIZE = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
         fragmentation: Share of free accelerators that can't host the largest
             guaranteed shape.
         completion_seconds: Median from acceptance to end of the jobs that finished
-            lately; None before the first.
+            last; None before the first.
         waiting: Why each waiting job waits.
     """
 
@@ -55,7 +55,7 @@
 
 
 def describe_cell(data: CellData, epoch: int, recovered: bool) -> CellPage:
-    """Return what the owner of a cell knows of it."""
+    """Return the owner's view of a cell."""
     contacts = data.contacts
     return CellPage(
         cell=data.name,
@@ -64,7 +64,7 @@
         accelerators=sum(each.worker.accelerators for each in contacts.values()),
         free=data.view.free,
         fragmentation=measure_fragmentation(data.view),
-        completion_seconds=find_completion(data.book),
+        completion_seconds=find_completion(data.job_table),
         held=tuple(
             HeldPage(each.job_id, each.organisation, each.members, each.evictable)
             for each in data.view.holdings.values()
@@ -82,20 +82,22 @@
     )
 
 
-def find_completion(book: JobBook) -> float | None:
+def find_completion(job_table: JobTable) -> float | None:
     """Return the median from acceptance to end of the jobs that finished last.
 
-    Taken from the records, which outlive an owner. When each owner kept its own list,
-    a cell that went to another VM a second after a job's end showed no completion
-    time to operators until the next job's end.
+    The records are used because they outlive an owner. With a list in each owner's
+    memory, a cell that changed owners a second after a job's end showed no completion
+    time until the next job's end.
     """
-    finished = book.list_in(JobState.FINISHED)
-    last = heapq.nlargest(COMPLETIONS, finished, key=lambda each: each.finished_at)
+    finished = job_table.list_in(JobState.FINISHED)
+    last = heapq.nlargest(
+        COMPLETION_SAMPLE_SIZE, finished, key=lambda each: each.finished_at
+    )
     if not last:
         return None
     return median(each.finished_at - each.accepted_at for each in last)
 
 
 def _waits(data: CellData, job_id: str) -> bool:
-    record = data.book.find(job_id)
+    record = data.job_table.find(job_id)
     return record is not None and record.state is JobState.ACCEPTED
--- a/src/primrosestile/coordination/cellwatch.py
+++ b/src/primrosestile/coordination/cellwatch.py
@@ -1,8 +1,7 @@
-"""An entry's picture of all cells, from what their owners tell it.
+"""An entry's view of all cells, built from the digests of their owners.
 
-One task for each placer process, straight down: report the need of slots, take in
-the digests of its cells, sleep. A placer that is silent costs its own cells their
-fresh grants and nothing else.
+One task for each placer reports the demand for slots, merges the digests of its cells
+and sleeps. A placer that does not answer affects only the grants of its own cells.
 """
 
 import asyncio
@@ -29,14 +28,14 @@
 
 REPORT_SECONDS = 1.0
 REPORT_TIMEOUT_SECONDS = 1.0
-# A digest older than this says nothing about free room any more.
+# A digest older than this says nothing about free accelerators.
 FRESH_SECONDS = 4.0
 
 _log = structlog.get_logger()
 
 
 class CellWatch:
-    """Reports demand to placers and keeps what they answer."""
+    """Reports demand to placers and keeps their answers."""
 
     def __init__(
         self,
@@ -60,7 +59,7 @@
         self._routed: tuple[SettingsView | None, set[str]] = (None, set())
         self._changed = asyncio.Event()
         self._asked: set[str] = set()
-        self._following: set[str] = set()
+        self._placers: set[str] = set()
         self.informed = asyncio.Event()
         directory.on_change(self._changed.set)
 
@@ -80,15 +79,15 @@
     ) -> None:
         view = view_settings(self._read_settings())
         found = self._directory.records("placer")
-        near = select_local(self._failure_domain, found, view)
-        placers = {record.name: record for record in near}
+        local_placers = select_local(self._failure_domain, found, view)
+        placers = {record.name: record for record in local_placers}
         for name in [name for name in tasks if name not in placers]:
             tasks.pop(name).cancel()
         for name, record in placers.items():
             if name not in tasks:
                 tasks[name] = group.create_task(self._follow(record))
-        self._following = set(placers)
-        if self._directory.listed.is_set() and self._following <= self._asked:
+        self._placers = set(placers)
+        if self._directory.listed.is_set() and self._placers <= self._asked:
             self.informed.set()
         entries = self._directory.records("entry")
         sharing = select_local(self._failure_domain, entries, view)
@@ -106,17 +105,17 @@
                 _log.info("placer_silent", placer=record.name, kind=failure.kind.value)
             else:
                 if isinstance(answer, CellDigests):
-                    self._take_in(answer)
+                    self._merge(answer)
             self._note_asked(record.name)
             await asyncio.sleep(REPORT_SECONDS * random.uniform(0.8, 1.0))
 
     def _note_asked(self, placer: str) -> None:
-        """Count as informed once each placer has answered, or failed to, once.
+        """Set `informed` once each placer has been asked, whether it answered or not.
 
-        An entry that knows one cell of three hands it every job of a burst.
+        An entry that knows only one cell of three would send it every job of a burst.
         """
         self._asked.add(placer)
-        if self._following <= self._asked:
+        if self._placers <= self._asked:
             self.informed.set()
 
     def _make_report(self) -> DemandReport:
@@ -129,9 +128,9 @@
             successes=successes,
         )
 
-    def _take_in(self, answer: CellDigests) -> None:
+    def _merge(self, answer: CellDigests) -> None:
         now = read_clock()
-        for digest in self._table.take_in(answer.cells):
+        for digest in self._table.merge(answer.cells):
             if digest.seconds > 0.0:
                 workers = self._workers_of(digest.cell)
                 self._dispatcher.router.set_grants(
@@ -145,7 +144,7 @@
         return [worker.name for worker in view.workers_in.get(cell_name, ())]
 
     def note_listed(self, leaving: frozenset[str]) -> None:
-        """Take in which workers the VM list shows as leaving."""
+        """Record which workers the VM list shows as leaving."""
         self._listed_leaving = leaving
         self.refresh_targets()
 
@@ -161,7 +160,7 @@
             # Sorting in 15,000 targets takes tens of milliseconds; digests come
             # many times a second and seldom change the set.
             if self._routed[0] is not view:
-                # Other settings may put other placers near.
+                # Other settings may make other placers local.
                 self._changed.set()
             self._routed = (view, leaving)
             slots = select_local_targets(self._failure_domain, view)
--- a/src/primrosestile/coordination/claimed.py
+++ b/src/primrosestile/coordination/claimed.py
@@ -1,8 +1,8 @@
-"""Non-idempotent requests: sent under a claim, and at most once.
+"""Sends non-idempotent requests at most once, under a claim.
 
-One promise is kept here whatever fails: "not run" is said only if nothing reached
-a target, under this sending or an earlier one of the same id; and a claim on which
-nobody works any more is settled, so that its id is not shut out by it.
+"Not run" is answered only if no target can have run the request, neither now nor when
+its id was sent before, whatever fails. An abandoned claim is settled, so that it does
+not block its id.
 """
 
 import asyncio
@@ -13,21 +13,21 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.claims import Claims, HeldClaim, compute_fingerprint
-from primrosestile.coordination.sending import Sending
-from primrosestile.coordination.turns import Turns
+from primrosestile.coordination.sending import RequestSender
+from primrosestile.coordination.turns import SlotAssigner
 from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.decisions.routing import Outcome
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder
 from primrosestile.state.jobs import Claim, ClaimState
 
-# A claim whose end could not be written is tried again in the background, so
-# that a repeated request finds its answer once the store is back.
+# A failed write of a claim's end is retried in the background, so that a repeated
+# request finds its answer once the store has recovered.
 SETTLE_RETRY_SECONDS = 1.0
 SETTLE_RETRY_LIMIT = 300
-# Reads of earlier claims that refusals may cause. Refusing is most frequent
-# under overload, when the store must not be loaded by it as well; past this the
-# answer says that it does not know.
+# Limit on reads of earlier claims for refused requests. Refusals are most frequent
+# under overload, when they must not load the store as well; above the limit the answer
+# is EARLIER_SENDING_UNKNOWN.
 REFUSAL_READS_PER_SECOND = 50.0
 # Failures after which another target may be tried: both prove that it did not run.
 _PROVED_NOT_RUN = (ErrorKind.TARGET_REFUSED, ErrorKind.NO_TARGET)
@@ -53,19 +53,19 @@
         return True
 
 
-class Settling:
+class ClaimSettler:
     """Writes the ends of claims in tasks that outlive their callers."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def keep(self, task: "asyncio.Task[Any]") -> None:
-        """Hold on to a task until it ends."""
+        """Keep a reference to a task until it ends."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def settle(self, key: str, write: Callable[[], Awaitable[None]]) -> None:
-        """Write an end, again and again until it stands or is not ours to write."""
+        """Write a claim's end in the background, with retries."""
         self.keep(asyncio.create_task(self._settle(key, write)))
 
     async def _settle(self, key: str, write: Callable[[], Awaitable[None]]) -> None:
@@ -88,24 +88,26 @@
 class ClaimedRequests:
     """Answers non-idempotent requests."""
 
-    def __init__(self, turns: Turns, sending: Sending, claims: Claims) -> None:
-        self.settling = Settling()
-        self._turns = turns
-        self._sending = sending
+    def __init__(
+        self, assigner: SlotAssigner, sending: RequestSender, claims: Claims
+    ) -> None:
+        self.settler = ClaimSettler()
+        self._assigner = assigner
+        self._sender = sending
         self._claims = claims
         self._reads = _ReadBudget(REFUSAL_READS_PER_SECOND)
 
     async def answer(
         self, order: RequestOrder, waiting: QueuedRequest, attempt: int
     ) -> RequestAnswer:
-        """Serve one request to its end.
+        """Answer one request.
 
-        The claim is made when the turn has come, not on arrival: a queue that is
-        given up or cancelled in a wave then costs the store nothing.
+        The claim is made when a slot is assigned, not on arrival, so that requests that
+        are dropped from the queue or cancelled in a wave cost the store nothing.
         """
         try:
-            target = await self._turns.wait(waiting, frozenset())
-            self._turns.router.note_first_attempt()
+            target = await self._assigner.wait(waiting, frozenset())
+            self._assigner.router.note_first_attempt()
             step = await self._claim(target, order, waiting)
         except Failure as failure:
             if not failure.not_run or attempt == 1:
@@ -118,11 +120,11 @@
     async def _check_earlier(
         self, order: RequestOrder, failure: Failure
     ) -> RequestAnswer:
-        """Look for an earlier sending before a refusal may say "not run".
+        """Check for an earlier attempt before a refusal may say "not run".
 
-        A caller whose connection was cut sends the same id again. If this entry
-        is full and says "not run" while the first sending ran elsewhere, the
-        caller makes a new request of it, and a client is billed twice.
+        A caller whose connection broke sends the same id again. If this entry is full
+        and answers "not run" although the first attempt ran elsewhere, the caller makes
+        a new request of it, and a client is billed twice.
         """
         try:
             if not self._reads.take(read_clock()):
@@ -164,23 +166,23 @@
             raise _as_not_sent(failure) from failure
         finally:
             if not isinstance(step, HeldClaim):
-                self._turns.finish(target, waiting, Outcome.CANCELLED, read_clock())
+                self._assigner.finish(target, waiting, Outcome.CANCELLED, read_clock())
 
     async def _run(
         self, held: HeldClaim, target: str, order: RequestOrder, waiting: QueuedRequest
     ) -> RequestAnswer:
-        """Send under a claim until it ran, may have run, or is given up."""
+        """Send under a claim until it ran, may have run, or can't be retried."""
         sent = False
         tried: frozenset[str] = frozenset()
         try:
             while True:
                 held = await self._mark_dispatched(held, target, waiting)
                 sending = asyncio.create_task(self._send(held, order, waiting))
-                self.settling.keep(sending)
+                self.settler.keep(sending)
                 sent = True
                 try:
-                    # Shielded: a caller who goes away does not undo what was
-                    # sent, and the claim must still learn how it ended.
+                    # Shielded: a caller that disconnects does not undo what was sent,
+                    # and the outcome must still be written into the claim.
                     return await asyncio.shield(sending)
                 except asyncio.CancelledError:
                     self._release_if_refused(sending, order, held.claim.token)
@@ -189,27 +191,26 @@
                     if failure.kind not in _PROVED_NOT_RUN:
                         raise
                     sent = False
-                    if not self._turns.router.may_retry(waiting, read_clock()):
+                    if not self._assigner.router.may_retry(waiting, read_clock()):
                         raise
                 tried |= {target}
-                target = await self._turns.wait(waiting, tried)
+                target = await self._assigner.wait(waiting, tried)
         finally:
-            # However this ends without a sending that may have run: the claim is
-            # given back.
+            # Nothing that may have run was sent, so the claim is released.
             if not sent:
                 self._release(order, held.claim.token)
 
     def _release_if_refused(
         self, sending: "asyncio.Task[RequestAnswer]", order: RequestOrder, token: str
     ) -> None:
-        """Give the claim of a caller who has gone away back if nothing ran."""
+        """Release the claim of a disconnected caller if nothing ran."""
 
-        def look(ended: "asyncio.Task[RequestAnswer]") -> None:
+        def release_if_not_run(ended: "asyncio.Task[RequestAnswer]") -> None:
             failure = None if ended.cancelled() else ended.exception()
             if isinstance(failure, Failure) and failure.kind in _PROVED_NOT_RUN:
                 self._release(order, token)
 
-        sending.add_done_callback(look)
+        sending.add_done_callback(release_if_not_run)
 
     def _release(self, order: RequestOrder, token: str) -> None:
         fingerprint = compute_fingerprint(order.job_class, order.body)
@@ -219,7 +220,7 @@
                 order.organisation, order.request_id, fingerprint, token
             )
 
-        self.settling.settle(order.request_id, release)
+        self.settler.settle(order.request_id, release)
 
     async def _mark_dispatched(
         self, held: HeldClaim, target: str, waiting: QueuedRequest
@@ -232,7 +233,7 @@
         may_send = False
         try:
             marked = await self._claims.mark_dispatched(held, target)
-            if self._turns.router.is_leaving(target, read_clock()):
+            if self._assigner.router.is_leaving(target, read_clock()):
                 raise Failure(ErrorKind.TARGET_REFUSED, f"{target} is leaving")
             may_send = True
             return marked
@@ -240,14 +241,14 @@
             raise _as_not_sent(failure) from failure
         finally:
             if not may_send:
-                self._turns.finish(target, waiting, Outcome.CANCELLED, read_clock())
+                self._assigner.finish(target, waiting, Outcome.CANCELLED, read_clock())
 
     async def _send(
         self, held: HeldClaim, order: RequestOrder, waiting: QueuedRequest
     ) -> RequestAnswer:
-        """Send, and write into the claim how it ended."""
+        """Send, and write the outcome into the claim."""
         try:
-            answer = await self._sending.send(held.claim.target, order, waiting)
+            answer = await self._sender.send(held.claim.target, order, waiting)
         except Failure as failure:
             self._settle_failure(held, failure)
             raise
@@ -255,7 +256,7 @@
         try:
             await self._claims.mark_done(held, STATUS_OK, text)
         except Failure:
-            self.settling.settle(
+            self.settler.settle(
                 held.key, lambda: self._claims.mark_done(held, STATUS_OK, text)
             )
         return answer
@@ -263,18 +264,18 @@
     def _settle_failure(self, held: HeldClaim, failure: Failure) -> None:
         if failure.kind is ErrorKind.TARGET_FAILED:
             status = failure.answer.status
-            self.settling.settle(
+            self.settler.settle(
                 held.key, lambda: self._claims.mark_done(held, status, "")
             )
         elif not failure.not_run:
-            self.settling.settle(held.key, lambda: self._claims.mark_unknown(held))
+            self.settler.settle(held.key, lambda: self._claims.mark_unknown(held))
 
 
 def _as_not_sent(failure: Failure) -> Failure:
-    """Word a lost answer of the store for a caller whose request was not sent.
+    """Convert a lost store answer for a caller whose request was not sent.
 
-    The table's row for a lost answer speaks of the write; here the write was a
-    claim, and nothing is sent under a claim that is not known to stand.
+    The texts of STORE_ANSWER_LOST are about the write itself. Here the write was a
+    claim, and nothing is sent under a claim that is not known to be stored.
     """
     if failure.kind is ErrorKind.STORE_ANSWER_LOST:
         return Failure(ErrorKind.STORE_UNAVAILABLE, failure.detail)
@@ -282,7 +283,7 @@
 
 
 def _answer_from(claim: Claim, order: RequestOrder) -> RequestAnswer:
-    """Return the kept answer of an earlier sending, whole, to the same caller."""
+    """Return the stored answer of an earlier attempt to the same caller."""
     if claim.status != STATUS_OK:
         raise Failure(ErrorKind.TARGET_FAILED, f"{claim.target} ran it and failed")
     if not claim.answer:
--- a/src/primrosestile/coordination/claims.py
+++ b/src/primrosestile/coordination/claims.py
@@ -1,18 +1,18 @@
 """At most one run of each non-idempotent request, by a claim in the store.
 
-The claim is written before the first dispatch and moves only forward, each step
-by compare-and-swap on the step before. Whoever fails a swap has lost the claim and
-sends nothing. The states, and what another entry may do when the holder has died:
+The claim is written before the first dispatch, and each change is a compare-and-swap on
+the state before. A process whose swap fails has lost the claim and sends nothing. The
+states, and what another entry may do when the holder has died:
 
 - CLAIMED: nothing was sent. The claim may be taken over, because the old holder
   must still swap it to DISPATCHED before it sends, and that swap now fails.
-- DISPATCHED: the request may be at its target. It is never sent again; the answer
-  is "outcome unknown", and the claim says so from then on.
-- NOT_RUN: the target proved that it did not run. It may be claimed afresh.
-- DONE: the answer is kept, so that a caller who lost it gets the whole answer.
+- DISPATCHED: the request may be at its target. It is never sent again; the answer is
+  "outcome unknown", and the claim becomes UNKNOWN.
+- NOT_RUN: the request is proved not to have run. It may be claimed again.
+- DONE: the answer is stored, so that a caller who lost it gets the whole answer.
 
-Claims hang on a lease that this process shares among all claims of an hour, and
-that nobody renews: a claim is gone a day after, and costs no call to remove.
+All claims that a process makes within an hour share one store lease, which is never
+renewed: they expire after about a day, without a call to remove them.
 """
 
 import hashlib
@@ -28,19 +28,19 @@
 from primrosestile.protocol.store import Entry, Store
 from primrosestile.state.jobs import CLAIMS_PREFIX, Claim, ClaimState
 
-# How long a repeated request is recognised. Callers give up within minutes, and
-# a batch that is sent again in the morning must still meet last night's claims.
+# How long a repeated request is recognised. Callers stop retrying within minutes, but a
+# batch that is sent again in the morning must still find last night's claims.
 CLAIM_LEASE_SECONDS = 26 * 3600
-# A new shared lease each hour, so that claims lapse at most an hour too late.
+# A new shared lease each hour, so that a claim lapses at most an hour early.
 SHARED_LEASE_PERIOD_SECONDS = 3600.0
-# Larger answers are not kept: at 40,000 claims a day these already are at most
-# 640 MB in the store, which the platform's service was not sized to exceed.
+# Larger answers are not stored: at 40,000 claims a day this limit already allows 640 MB
+# in the store, which the platform's service was not sized to exceed.
 KEPT_ANSWER_BYTES = 16 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class HeldClaim:
-    """A claim that this process holds, and the revision that it expects."""
+    """A claim held by this process, and its revision in the store."""
 
     key: str
     claim: Claim
@@ -48,7 +48,7 @@
 
 
 def compute_fingerprint(job_class: str, body: bytes) -> str:
-    """Return what tells a repeated request from another under the same id."""
+    """Return a hash that distinguishes a repeated request from another with its id."""
     return hashlib.sha256(job_class.encode() + b"\0" + body).hexdigest()
 
 
@@ -91,7 +91,7 @@
             organisation: Whose request it is.
             request_id: The caller's id.
             fingerprint: Of the class and body.
-            token: A new one; `release` finds the claim by it should this fail.
+            token: A new one; `release` finds the claim by it if this call fails.
 
         Raises:
             Failure: CONFLICT for another body under the same id, IN_PROGRESS
@@ -112,17 +112,18 @@
         if swap.done:
             return HeldClaim(key, claim, swap.revision)
         if swap.current is None:
-            raise Failure(ErrorKind.STORE_UNAVAILABLE, "the claim came and went")
-        return await self._meet(key, claim, swap.current)
+            raise Failure(
+                ErrorKind.STORE_UNAVAILABLE, "the claim was removed meanwhile"
+            )
+        return await self._resolve_existing(key, claim, swap.current)
 
     async def settle_abandoned(
         self, organisation: str, request_id: str
     ) -> Claim | None:
-        """Return the claim as it stands; one that nobody can act on is ended first.
+        """Return a request's claim, settled first if its holder ended before sending.
 
-        A claim whose holder has ended before it dispatched is taken over and
-        settled as not run: until that is done, a holder that was only paused
-        could still dispatch it.
+        A claim whose holder ended before the dispatch is first swapped to NOT_RUN,
+        since a holder that was only paused could otherwise still dispatch it.
         """
         key = f"{CLAIMS_PREFIX}{organisation}/{request_id}"
         entry = await self._store.get(key)
@@ -137,15 +138,15 @@
     async def release(
         self, organisation: str, request_id: str, fingerprint: str, token: str
     ) -> None:
-        """Settle a claim as not run if it still is the one with this token.
+        """Set a claim to NOT_RUN if it still has this token.
 
-        For the caller to know that nothing was sent under it, or that each target
-        proved that it did not run.
+        The caller must know that nothing was sent under it, or that each target proved
+        that it did not run.
 
-        A claim that is not there may still be on its way: its write was given up,
-        and the store has not seen it yet. Left alone it would land later under a
-        holder that is alive, and shut the id out for a day. So it is settled where
-        none stands, and the late write then loses its compare.
+        A missing claim may still be in flight: its write was abandoned before the store
+        received it. It could arrive later under a live holder and block the id for a
+        day. So a NOT_RUN claim is created in its place, and the late write then fails
+        its compare.
         """
         key = f"{CLAIMS_PREFIX}{organisation}/{request_id}"
         entry = await self._store.get(key)
@@ -171,11 +172,11 @@
     async def claim_job(
         self, organisation: str, request_id: str, fingerprint: str, job_id: str
     ) -> str:
-        """Fix the id of the job that a request id stands for; return it.
+        """Bind a request id to a job id; return the job id that it is bound to.
 
         Raises:
-            Failure: CONFLICT when the request id stands for something else, and
-                the store's kinds.
+            Failure: CONFLICT when the request id is bound to another request, and the
+                store's kinds.
         """
         key = f"{CLAIMS_PREFIX}{organisation}/{request_id}"
         claim = Claim(
@@ -192,14 +193,18 @@
         if swap.done:
             return job_id
         if swap.current is None:
-            raise Failure(ErrorKind.STORE_UNAVAILABLE, "the claim came and went")
+            raise Failure(
+                ErrorKind.STORE_UNAVAILABLE, "the claim was removed meanwhile"
+            )
         theirs = msgspec.json.decode(swap.current.value, type=Claim)
         if theirs.fingerprint != fingerprint:
             raise Failure(ErrorKind.CONFLICT, "the id was used for another request")
         return theirs.target
 
-    async def _meet(self, key: str, mine: Claim, entry: Entry) -> HeldClaim | Claim:
-        """Decide what an existing claim means for the caller's request."""
+    async def _resolve_existing(
+        self, key: str, mine: Claim, entry: Entry
+    ) -> HeldClaim | Claim:
+        """Take over, answer or refuse, depending on the state of an existing claim."""
         theirs = msgspec.json.decode(entry.value, type=Claim)
         if theirs.fingerprint != mine.fingerprint:
             raise Failure(ErrorKind.CONFLICT, "the id was used for another request")
@@ -224,10 +229,10 @@
         return await self._swap(HeldClaim(key, theirs, entry.mod_revision), mine)
 
     async def _swap(self, held: HeldClaim, claim: Claim) -> HeldClaim:
-        """Move a claim one step.
+        """Replace a claim by compare-and-swap.
 
         Raises:
-            Failure: IN_PROGRESS when another process has moved it first.
+            Failure: IN_PROGRESS when another process has changed it first.
         """
         lease = await self._shared_lease()
         value = msgspec.json.encode(claim)
@@ -247,7 +252,7 @@
         return await self._swap(held, claim)
 
     async def mark_not_run(self, held: HeldClaim) -> HeldClaim:
-        """Record that the target proved that the request did not run."""
+        """Record that the request is proved not to have run."""
         claim = replace(
             held.claim, token=self.make_token(), state=ClaimState.NOT_RUN, target=""
         )
--- a/src/primrosestile/coordination/dispatch.py
+++ b/src/primrosestile/coordination/dispatch.py
@@ -1,15 +1,15 @@
-"""One short request from admission to its whole answer.
+"""Serves short requests from admission to the whole answer.
 
-The caller's own task walks straight down: queue, turn, send, answer. What decides
-(queue, router, retry budget) is pure and is asked at each step; non-idempotent
-work takes the same way with a claim in between.
+Each request runs in its caller's task: queue, slot, send, answer. The decisions (queue,
+router, retry budget) are pure; non-idempotent requests also take a claim before they
+are sent.
 """
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.claimed import ClaimedRequests
 from primrosestile.coordination.claims import Claims
-from primrosestile.coordination.sending import Sending
-from primrosestile.coordination.turns import TargetCounts, Turns
+from primrosestile.coordination.sending import RequestSender
+from primrosestile.coordination.turns import SlotAssigner, TargetCounts
 from primrosestile.decisions.request_queue import QueuedRequest, RequestQueue
 from primrosestile.decisions.routing import Router
 from primrosestile.errors import ErrorKind, Failure
@@ -24,43 +24,43 @@
     ) -> None:
         self.queue = queue
         self.router = router
-        self._turns = Turns(queue, router)
-        self._sending = Sending(self._turns, targets)
-        self._claimed = ClaimedRequests(self._turns, self._sending, claims)
+        self._assigner = SlotAssigner(queue, router)
+        self._sender = RequestSender(self._assigner, targets)
+        self._claimed = ClaimedRequests(self._assigner, self._sender, claims)
 
     @property
     def counts(self) -> TargetCounts:
         """What happened at each worker since the last report."""
-        return self._turns.counts
+        return self._assigner.counts
 
     @property
     def in_progress(self) -> int:
         """Requests queued or sent and not yet answered."""
-        return len(self._turns) + self.counts.in_flight.total()
+        return len(self._assigner) + self.counts.in_flight.total()
 
     def wake(self) -> None:
-        """Look at the queue now: grants or targets have changed."""
-        self._turns.wake()
+        """Check the queue now, since grants or targets have changed."""
+        self._assigner.wake()
 
     async def run(self) -> None:
-        """Hand out turns until cancelled."""
-        await self._turns.run()
+        """Assign slots until cancelled."""
+        await self._assigner.run()
 
     async def answer(
         self, order: RequestOrder, waiting: QueuedRequest, attempt: int
     ) -> RequestAnswer:
-        """Serve one request to its end.
+        """Answer one request.
 
         Args:
             order: What is sent to a target.
-            waiting: The same request as the queue sees it.
-            attempt: The caller's count of sendings under this id; 1 says that
-                there was none before, 0 that the caller did not say.
+            waiting: The same request as an element of the queue.
+            attempt: The caller's count of attempts under this id; 1 for the first, 0
+                when the caller gave none.
 
         Raises:
-            Failure: Why it was refused or failed. "Not run" is true of every
-                sending under the id for non-idempotent work, and of this one for
-                idempotent work.
+            Failure: Why it was refused or failed. "Not run" is true of every attempt
+                under the id for non-idempotent work, and of this one for idempotent
+                work.
         """
         if order.idempotent:
             return await self._answer_idempotent(order, waiting)
@@ -73,22 +73,22 @@
         unknown: Failure | None = None
         while True:
             try:
-                target = await self._turns.wait(waiting, tried)
+                target = await self._assigner.wait(waiting, tried)
                 if not tried:
                     self.router.note_first_attempt()
-                return await self._sending.send_hedged(target, order, waiting)
+                return await self._sender.send_hedged(target, order, waiting)
             except Failure as failure:
                 last = failure
             if not last.not_run:
                 unknown = last
             may_retry = _was_sent(last) and self.router.may_retry(waiting, read_clock())
             if not may_retry:
-                raise _tell_gravest(last, unknown)
+                raise _choose_reported_failure(last, unknown)
             tried |= {target}
 
     async def finish_settling(self) -> None:
         """Wait until the claims of answered requests are written."""
-        await self._claimed.settling.finish()
+        await self._claimed.settler.finish()
 
 
 def _was_sent(failure: Failure) -> bool:
@@ -100,11 +100,11 @@
     )
 
 
-def _tell_gravest(last: Failure, unknown: Failure | None) -> Failure:
-    """Return what the caller is told about several tries of one request.
+def _choose_reported_failure(last: Failure, unknown: Failure | None) -> Failure:
+    """Return the failure to report after several attempts at one request.
 
-    The last try may have been refused while an earlier one may have run; "not run"
-    would then be untrue. When to come back is the last one's to say.
+    The last attempt may have been refused although an earlier one may have run; "not
+    run" would then be false. The retry time is the last one's.
     """
     if unknown is None or not last.not_run:
         return last
--- a/src/primrosestile/coordination/exchange.py
+++ b/src/primrosestile/coordination/exchange.py
@@ -1,8 +1,8 @@
-"""What placers tell one another of their cells, and what follows from it.
+"""Exchanges digests of cells among placers, and finds lost failure domains.
 
-Every few seconds each placer asks the others for digests. The picture is soft: it
-decides where a waiting job might do better and which failure domains are lost, and
-a mistake costs a detour or some room kept for nothing, never a promise.
+Every few seconds each placer requests digests from the others. They are soft state that
+decides where a waiting job could start earlier and which failure domains are lost; a
+mistake costs a needless move or unused capacity, never a guarantee.
 """
 
 import asyncio
@@ -28,10 +28,10 @@
 from primrosestile.state.tenancy import Shape
 
 EXCHANGE_TIMEOUT_SECONDS = 1.0
-# A digest counts as fresh for this many questions: two may be lost.
-FRESH_ROUNDS = 3
+# A digest counts as fresh for this many request intervals: two requests may be lost.
+FRESH_REQUESTS = 3
 # A domain counts as lost only after this: re-assigning its guarantees evicts work
-# elsewhere, which a cut of a few seconds is not worth.
+# elsewhere, which a partition of a few seconds does not justify.
 LOST_AFTER_SECONDS = 10.0
 
 _log = structlog.get_logger()
@@ -44,20 +44,20 @@
 
 
 class DigestTable:
-    """The latest digest of each cell, whoever told it."""
+    """The latest digest of each cell, from whichever process."""
 
     def __init__(self) -> None:
         self._known: dict[str, _Known] = {}
         self._handed: Counter[str] = Counter()
 
     def note_handed(self, cell: str, accelerators: int) -> None:
-        """Note a job handed to a cell; its next digest takes it into account."""
+        """Note a job handed to a cell; the cell's next digest includes it."""
         self._handed[cell] += accelerators
 
-    def take_in(self, digests: Iterable[CellDigest]) -> list[CellDigest]:
+    def merge(self, digests: Iterable[CellDigest]) -> list[CellDigest]:
         """Keep the digests of the newest epochs; return those that were kept.
 
-        Two processes may speak for a cell while the older owner does not know yet
+        Two processes may send digests of a cell while the older owner does not know yet
         that it has lost it.
         """
         now = read_clock()
@@ -75,14 +75,14 @@
         return iter([known.digest for known in self._known.values()])
 
     def find_fresh(self, cell: str, seconds: float) -> CellDigest | None:
-        """Return a cell's digest unless it is older than some seconds."""
+        """Return a cell's digest unless it is older than `seconds`."""
         known = self._known.get(cell)
         if known is None or read_clock() - known.at > seconds:
             return None
         return known.digest
 
     def count_used(self, skipped: Collection[str]) -> Counter[str]:
-        """Return the accelerators that each team holds, but for some cells."""
+        """Return the accelerators that each team holds, without some cells."""
         used: Counter[str] = Counter()
         for cell, known in self._known.items():
             if cell not in skipped:
@@ -96,23 +96,23 @@
 
         Args:
             settings: Those in force.
-            organisation: Whose guarantees count as promised.
-            shape: What is asked for.
-            seconds: The age from which a digest is not fresh any more.
+            organisation: Whose guarantees count.
+            shape: The requested shape.
+            seconds: The age above which a digest is stale.
         """
         view = view_settings(settings)
         promised = view.find_guaranteed_shapes()
         return [
-            self._picture(
+            self._summarize(
                 name,
-                _is_promised(promised.get(name, ()), organisation, shape),
+                _is_guaranteed(promised.get(name, ()), organisation, shape),
                 seconds,
             )
             for name, capacity in view.capacity.items()
             if capacity.can_hold(shape)
         ]
 
-    def _picture(self, cell: str, promised: bool, seconds: float) -> CellSummary:
+    def _summarize(self, cell: str, promised: bool, seconds: float) -> CellSummary:
         digest = self.find_fresh(cell, seconds)
         if digest is None:
             return CellSummary(cell, {}, 0, promised, fresh=False)
@@ -126,7 +126,7 @@
         )
 
 
-def _is_promised(
+def _is_guaranteed(
     promises: Iterable[tuple[str, Shape]], organisation: str, shape: Shape
 ) -> bool:
     return any(
@@ -136,7 +136,7 @@
 
 
 class Exchange:
-    """Asks the other placers, and works out which failure domains are lost."""
+    """Requests digests from the other placers, and finds lost failure domains."""
 
     def __init__(
         self,
@@ -155,13 +155,13 @@
         self._empty_since: dict[str, float] = {}
 
     def speak_for(self, read_own: Callable[[], list[CellDigest]]) -> None:
-        """Take this process's own cells into the picture."""
+        """Set the source of the digests of this process's own cells."""
         self._read_own = read_own
 
     async def run(self) -> None:
-        """Ask every few seconds until cancelled."""
+        """Request digests every few seconds until cancelled."""
         while True:
-            self.table.take_in(self._read_own())
+            self.table.merge(self._read_own())
             others = [
                 record
                 for record in self._directory.records("placer")
@@ -176,7 +176,7 @@
 
     @property
     def _fresh_seconds(self) -> float:
-        return FRESH_ROUNDS * self._seconds
+        return FRESH_REQUESTS * self._seconds
 
     async def _ask(self, peer: str) -> None:
         try:
@@ -187,7 +187,7 @@
             _log.info("placer_silent", peer=peer, kind=failure.kind.value)
             return
         if isinstance(answer, CellDigests):
-            self.table.take_in(answer.cells)
+            self.table.merge(answer.cells)
 
     def _note_empty_domains(self) -> None:
         now = read_clock()
@@ -199,10 +199,10 @@
                 self._empty_since.setdefault(domain, now)
 
     def _find_working(self) -> Mapping[str, bool]:
-        """Say of each domain whether any of its cells may have a usable worker.
+        """Return for each domain whether any of its cells may have a usable worker.
 
-        A cell that nobody speaks for may be well; only an owner that says that it
-        reaches no worker at all is evidence of a loss.
+        A cell without a fresh digest may be healthy; only an owner that reports no
+        usable worker at all is evidence of a loss.
         """
         working: dict[str, bool] = {}
         for cell, domain in view_settings(self._read_settings()).domain_of.items():
@@ -218,7 +218,7 @@
         )
 
     def count_used(self, skipped: Collection[str]) -> Counter[str]:
-        """Return the accelerators that each team holds, but for some cells."""
+        """Return the accelerators that each team holds, without some cells."""
         return self.table.count_used(skipped)
 
     def note_handed(self, cell: str, accelerators: int) -> None:
@@ -226,7 +226,7 @@
         self.table.note_handed(cell, accelerators)
 
     def list_lost_domains(self) -> frozenset[str]:
-        """Return the failure domains none of whose workers can be used."""
+        """Return the failure domains without any usable worker."""
         now = read_clock()
         return frozenset(
             domain
--- a/src/primrosestile/coordination/follower.py
+++ b/src/primrosestile/coordination/follower.py
@@ -1,10 +1,9 @@
-"""Keep the settings in force in one process, whatever the store does.
+"""Keeps the settings of one process in force, also while the store fails.
 
-Every decision reads settings, and none may wait for the store. So each process
-holds the latest picture that it has seen. The store may be down, a watch may go
-silent, and answers may come late; then the process keeps what it has. It never
-goes back: a value counts only if its path's revision is higher than the one in
-force, whoever brings it and in whatever order.
+Every decision reads settings, and none may wait for the store. So each process holds
+the latest settings snapshot that it received, and keeps it while the store is down, a
+watch is silent or answers are late. A value is applied only if its path's revision is
+higher than the one in force, from whichever source and in whichever order it arrives.
 """
 
 import asyncio
@@ -35,16 +34,15 @@
 )
 from primrosestile.state.tenancy import Guarantees, Policy, Team
 
-# After a failure: long enough that a store that comes back isn't met by every
+# Delay after a failure: long enough that a recovered store isn't called by every
 # process at once, short enough that settings are in force within 11 s.
 RETRY_LOW_SECONDS = 0.5
 RETRY_HIGH_SECONDS = 3.0
-# The longest time without a change after which the whole list is read again. A
-# watch that something between the ends has lost track of shows nothing at all,
-# just as one without changes does.
+# The whole list is read again after this time without a change, since a watch that was
+# dropped by something on the path looks like one without changes.
 SILENCE_SECONDS = 60.0
-# Workers that a log line names; the rest are usually of the same rack.
-SHOWN_LEFT_OUT = 5
+# Excluded workers that a log line names; the rest are usually of the same rack.
+MAX_LOGGED_WORKERS = 5
 
 ChangeHandler = Callable[[Settings], None]
 
@@ -59,7 +57,7 @@
 
 
 class SettingsFollower:
-    """The settings in force here, and the task that keeps them up to date."""
+    """The settings in force in this process, kept up to date by `run`."""
 
     def __init__(self, store: Store, name: str, chance: random.Random) -> None:
         self._store = store
@@ -71,20 +69,20 @@
         self._teams: dict[str, Team] = {}
         self._fleet = Fleet()
         self._workers: dict[str, tuple[Worker, ...]] = {}
-        self._left_out: tuple[ExcludedWorker, ...] = ()
+        self._excluded_workers: tuple[ExcludedWorker, ...] = ()
         self._handlers: list[ChangeHandler] = []
         self._first = asyncio.Event()
         self._changed = asyncio.Event()
 
     @property
     def settings(self) -> Settings:
-        """The picture in force; a new object after each change."""
+        """The snapshot in force; a new object after each change."""
         return self._settings
 
     @property
     def left_out(self) -> tuple[ExcludedWorker, ...]:
-        """Stored workers that don't count, since they do not fit the fleet."""
-        return self._left_out
+        """Stored workers that are ignored, since they do not fit the fleet."""
+        return self._excluded_workers
 
     @property
     def revisions(self) -> Mapping[str, int]:
@@ -97,7 +95,7 @@
         return MappingProxyType(self._values)
 
     def add_handler(self, handler: ChangeHandler) -> None:
-        """Call `handler` with the new picture after each change."""
+        """Call `handler` with the new snapshot after each change."""
         self._handlers.append(handler)
 
     async def wait_for_first(self) -> None:
@@ -105,16 +103,16 @@
         await self._first.wait()
 
     async def wait_for_change(self) -> Settings:
-        """Wait for the next change and return the picture after it."""
+        """Wait for the next change and return the snapshot after it."""
         changed = self._changed
         await changed.wait()
         return self._settings
 
     def apply(self, values: Mapping[str, bytes]) -> bool:
-        """Take over stored values that are newer; return whether any was.
+        """Apply stored values that are newer; return whether any was.
 
-        A value that can't be read is left out: it comes from a newer program
-        than this one, and the value in force is better than none.
+        A value that can't be read is rejected: it comes from a newer program than this
+        one, and the value in force is better than none.
         """
         applied = [path for path, data in values.items() if self._apply(path, data)]
         if not applied:
@@ -123,7 +121,7 @@
             self._settings,
             teams=tuple(self._teams[path] for path in sorted(self._teams)),
         )
-        # Whoever indexes a fleet does it once for each; most changes are of others.
+        # Callers index each new fleet object once, and most changes are of other paths.
         if any(path.startswith(_FLEET_PATHS) for path in applied):
             self._assemble_fleet()
         self._announce(applied)
@@ -132,10 +130,12 @@
     def _assemble_fleet(self) -> None:
         fleet, left_out = assemble_fleet(self._fleet, self._workers)
         self._settings = replace(self._settings, fleet=fleet)
-        if left_out and left_out != self._left_out:
-            shown = [f"{each.path}[{each.index}]" for each in left_out[:SHOWN_LEFT_OUT]]
+        if left_out and left_out != self._excluded_workers:
+            shown = [
+                f"{each.path}[{each.index}]" for each in left_out[:MAX_LOGGED_WORKERS]
+            ]
             log.warning("workers_left_out", count=len(left_out), first=shown)
-        self._left_out = left_out
+        self._excluded_workers = left_out
 
     @property
     def is_ready(self) -> bool:
@@ -143,7 +143,7 @@
         return self._first.is_set()
 
     def mark_ready(self) -> None:
-        """Say that the settings are complete as far as anyone reachable knows."""
+        """Mark the settings as complete, as far as any reachable process knows."""
         self._first.set()
 
     async def run(self) -> None:
@@ -166,7 +166,7 @@
         """Read every path from the store now; return the store's revision.
 
         Raises:
-            Failure: STORE_UNAVAILABLE; what is in force stays.
+            Failure: STORE_UNAVAILABLE; the settings in force stay.
         """
         entries, revision = await list_all(self._store, SETTINGS_PREFIX)
         values = {
@@ -235,8 +235,8 @@
 def _collect_values(changes: tuple[Change, ...]) -> dict[str, bytes]:
     """Return the latest value of each changed path.
 
-    A removed key is passed over: paths are removed by an empty value, and a key
-    that vanished without one is no operator's change.
+    A removed key is ignored: operators remove a path by an empty value, so a key that
+    was deleted without one is not their change.
     """
     return {
         change.key.removeprefix(SETTINGS_PREFIX): change.entry.value
--- a/src/primrosestile/coordination/following.py
+++ b/src/primrosestile/coordination/following.py
@@ -1,9 +1,9 @@
-"""Follows each worker of an owned cell: renews its leases and reads its report.
+"""Polls each worker of an owned cell: renews its leases and reads its report.
 
-One task for each worker, straight down: renew all its leases in one call, look at
-what its report says of each job, sleep. A renewal that does not come through stops
-the renewals of every gang with a member there, so that the gang's other members
-lapse too and none runs in part for longer than one lease.
+One task for each worker renews all its leases in one call, checks each job against its
+report and sleeps. A failed renewal stops the renewals of every gang with a member
+there, so that the gang's other members lapse too and none runs in part for longer than
+one lease.
 """
 
 import asyncio
@@ -21,8 +21,8 @@
 from primrosestile.protocol.workers import TaskPhase, WorkerReport
 from primrosestile.state.jobs import JobRecord, JobState, ReasonCode
 
-# A member that has finished waits for the others, which may go on.
-_WELL = (TaskPhase.HELD, TaskPhase.RUNNING, TaskPhase.FINISHED)
+# A finished member waits for the others, which may go on.
+_HEALTHY_PHASES = (TaskPhase.HELD, TaskPhase.RUNNING, TaskPhase.FINISHED)
 
 _log = structlog.get_logger()
 
@@ -35,8 +35,8 @@
     seconds: float
 
 
-class Following:
-    """Keeps in touch with the workers of one cell."""
+class WorkerPoller:
+    """Polls the workers of one cell."""
 
     def __init__(self, data: CellData, actions: JobActions) -> None:
         self._data = data
@@ -44,29 +44,29 @@
         self.superseded = asyncio.Event()
 
     async def follow(self, group: asyncio.TaskGroup, name: str) -> None:
-        """Follow one worker until cancelled or superseded."""
+        """Poll one worker until cancelled or superseded."""
         contact = self._data.contacts[name]
-        if self._data.book.list_on(name):
-            # The owner before may have renewed its leases long ago.
-            await self._run_round(group, contact)
+        if self._data.job_table.list_on(name):
+            # The previous owner may have renewed its leases long ago.
+            await self._poll(group, contact)
         while not self.superseded.is_set():
             await asyncio.sleep(self._choose_pause())
-            await self._run_round(group, contact)
+            await self._poll(group, contact)
 
     def _choose_pause(self) -> float:
-        jobs_wait = self._data.book.count_in(JobState.ACCEPTED) > 0
+        jobs_wait = self._data.job_table.count_in(JobState.ACCEPTED) > 0
         seconds = choose_poll_seconds(
             self._data.command.lease_seconds,
             jobs_wait,
-            self._data.count_followed(),
+            self._data.count_polled(),
         )
         return seconds * random.uniform(0.8, 1.0)
 
-    async def _run_round(self, group: asyncio.TaskGroup, contact: Contact) -> None:
+    async def _poll(self, group: asyncio.TaskGroup, contact: Contact) -> None:
         command = self._data.command
         was_reachable = contact.reachable
         try:
-            asked_at, report = await self._renew_patiently(contact)
+            asked_at, report = await self._renew_with_retry(contact)
         except Failure as failure:
             self._note_failure(contact, failure)
             if failure.kind is ErrorKind.STALE_EPOCH:
@@ -75,31 +75,30 @@
             contact.report_at = asked_at
             self._note_report(contact, report)
             if not was_reachable:
-                # What runs there was left out of the renewal while nobody knew
-                # whether it still ran.
-                await self._run_round(group, contact)
+                # The tasks there were left out of this renewal, since it was unknown
+                # whether they still ran.
+                await self._poll(group, contact)
                 return
         if command.may_act():
             self._consider(group, contact)
 
-    async def _renew_patiently(self, contact: Contact) -> tuple[float, WorkerReport]:
-        """Renew, and once more at once if no answer comes.
+    async def _renew_with_retry(self, contact: Contact) -> tuple[float, WorkerReport]:
+        """Renew, with one immediate retry if the worker does not answer.
 
-        The connection may have gone silent for good while a new one works. To
-        wait a round for the second try would cost the worker's tasks their lease
-        when leases are short; the first try has closed the connection, so the
-        second takes a new one.
+        The connection may be dead while a new one works; the failed call has closed it,
+        so the retry opens a new one. Retrying only at the next poll would cost the
+        worker's tasks their lease when leases are short.
         """
         try:
             return await self._renew(contact)
         except Failure as failure:
-            unheard = failure.kind is ErrorKind.WORKER_UNREACHABLE
-            if not unheard or not contact.reachable:
+            unanswered = failure.kind is ErrorKind.WORKER_UNREACHABLE
+            if not unanswered or not contact.reachable:
                 raise
         return await self._renew(contact)
 
     async def _renew(self, contact: Contact) -> tuple[float, WorkerReport]:
-        """Renew what may be renewed; return when it was asked, and the report."""
+        """Renew what may be renewed; return when the call began, and the report."""
         command = self._data.command
         renewal = self._plan_renewal(contact)
         asked_at = read_clock()
@@ -137,27 +136,27 @@
             self._data.wake()
 
     def _plan_renewal(self, contact: Contact) -> _Renewal:
-        """Return the tasks there whose gang is whole, and for how long to renew.
+        """Return the worker's tasks whose gang is complete, and for how long to renew.
 
-        RENEWED_ONLY_WHOLE and CARETAKER_RENEWS_WHOLE. The lease is shortened by
-        the age of what is known of the gang's other members: so that a gang whose
-        member died just after its round still stops everywhere within one lease.
+        RENEWED_ONLY_WHOLE and CARETAKER_RENEWS_WHOLE. The lease is shortened by the age
+        of the latest observation of the gang's other members, so that a gang whose
+        member died just after its poll still stops everywhere within one lease.
 
-        While this process's own lease is in doubt it renews only in an outage of
-        the store, in which nobody can have become the owner; a process that was
-        paused renews nothing before it has asked the store.
+        While this process's own lease is not valid it renews only during an outage of
+        the store, when no other process can have become the owner; a process that was
+        paused renews nothing before it has called the store.
         """
         command = self._data.command
         now = read_clock()
         renewal = _Renewal([], command.lease_seconds)
         if not contact.reachable:
             return renewal
-        if not command.may_act() and not command.may_care():
+        if not command.may_act() and not command.may_extend_leases():
             return renewal
-        for record in self._data.book.list_on(contact.worker.name):
+        for record in self._data.job_table.list_on(contact.worker.name):
             if record.spec.job_id in self._data.stopping:
                 continue
-            oldest = self._find_oldest_sight(record, contact)
+            oldest = self._find_oldest_observation(record, contact)
             if oldest is None:
                 continue
             task_id = make_task_id(record.spec.job_id, record.attempt)
@@ -167,11 +166,13 @@
         renewal.seconds = max(renewal.seconds, 0.0)
         return renewal
 
-    def _find_oldest_sight(self, record: JobRecord, asking: Contact) -> float | None:
-        """Return since when a gang's other members are known to be well.
+    def _find_oldest_observation(
+        self, record: JobRecord, asking: Contact
+    ) -> float | None:
+        """Return the oldest time at which a gang's other members were seen healthy.
 
-        None when one of them is not: unreachable, or seen in another phase than
-        the gang's. A start counts as a sight of each member.
+        None when one of them is unreachable, or not held, running or finished. A start
+        counts as an observation of each member.
         """
         started = self._data.started_at.get(record.spec.job_id, 0.0)
         oldest = read_clock()
@@ -181,13 +182,13 @@
             contact = self._data.contacts.get(member.worker)
             if contact is None or not contact.reachable:
                 return None
-            if self._find_phase(member.worker, record) not in _WELL:
+            if self._find_phase(member.worker, record) not in _HEALTHY_PHASES:
                 return None
             oldest = min(oldest, max(contact.report_at, started))
         return oldest
 
     def _consider(self, group: asyncio.TaskGroup, contact: Contact) -> None:
-        for record in self._data.book.list_on(contact.worker.name):
+        for record in self._data.job_table.list_on(contact.worker.name):
             if record.spec.job_id in self._data.busy:
                 continue
             if record.cancel_requested:
@@ -196,7 +197,7 @@
                 self._consider_job(group, record)
 
     def _consider_job(self, group: asyncio.TaskGroup, record: JobRecord) -> None:
-        """Look at all members of a job; act on the first thing that is amiss."""
+        """Check all members of a job; start the first action that is needed."""
         phases = {
             member.worker: self._find_phase(member.worker, record)
             for member in record.members
@@ -209,7 +210,7 @@
         elif gone:
             self._actions.spawn(group, record, self._actions.lose(record, gone))
         elif held:
-            self._actions.spawn(group, record, self._go_again(record, held))
+            self._actions.spawn(group, record, self._repeat_go(record, held))
         elif all(phase is TaskPhase.FINISHED for phase in phases.values()):
             self._actions.spawn(group, record, self._actions.finish(record))
 
@@ -219,18 +220,18 @@
         if contact is None:
             return None
         if not contact.reachable or contact.report is None:
-            lapsed = read_clock() >= self._data.lapse_of([worker])
+            lapsed = read_clock() >= self._data.find_lapse_time([worker])
             return None if lapsed else TaskPhase.RUNNING
         task_id = make_task_id(record.spec.job_id, record.attempt)
         for task in contact.report.tasks:
             if task.task_id == task_id:
                 return None if task.phase is TaskPhase.STOPPED else task.phase
-        # A report that was asked for before the start can't show the task yet.
+        # A report that was requested before the start can't show the task yet.
         started = self._data.started_at.get(record.spec.job_id, 0.0)
         return TaskPhase.RUNNING if contact.report_at <= started else None
 
-    async def _go_again(self, record: JobRecord, held: tuple[str, ...]) -> None:
-        """Let members go that were held when their owner died or lost touch."""
+    async def _repeat_go(self, record: JobRecord, held: tuple[str, ...]) -> None:
+        """Send `go` to members left held when their owner died or lost contact."""
         members = [each for each in record.members if each.worker in held]
         failures = await go_gang(self._data.command, record, members)
         if failures:
--- a/src/primrosestile/coordination/gangs.py
+++ b/src/primrosestile/coordination/gangs.py
@@ -1,9 +1,9 @@
-"""Starting and stopping a gang whole.
+"""Starts and stops all members of a gang together.
 
-Reserve everywhere, prepare everywhere, record the start, then go everywhere. Until
-the start is recorded, every failure undoes everything; a worker that can't be told
-so forgets the held task when its lease lapses. After the record, the job may be
-running, and whoever finds the record goes on from there.
+Reserve on all workers, prepare on all, record the start, then go on all. Until the
+start is recorded, any failure undoes everything; an unreachable worker drops the held
+task when its lease lapses. After the record the job may be running, and a new owner
+continues from the record.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 from primrosestile.protocol.workers import TaskOrder, Workers
 from primrosestile.state.jobs import JobRecord, Member
 
-# `go` is repeated while the task's lease runs: a lost answer must not cost the
-# gang its start, and repeating it is harmless.
+# `go` is idempotent and is repeated when the worker does not answer, so that a lost
+# answer does not cost the gang its start.
 GO_TRIES = 3
 
 _log = structlog.get_logger()
 
 
 class Stage(Enum):
-    """How far a start came."""
+    """The stages of a start."""
 
     RESERVE = "reserve"
     PREPARE = "prepare"
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOutcome:
-    """What a start came to.
+    """The result of a start.
 
     Attributes:
         stage: STARTED, or the stage that failed.
@@ -56,13 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """Under which authority commands are given to the workers of a cell.
+    """The authority under which an owner commands the workers of a cell.
 
     Attributes:
         lease_seconds: Time to live of leases on workers.
         may_act: Whether this process's own lease still runs.
-        may_care: Whether it may renew, and only renew, although its lease does
-            not: in an outage of the store.
+        may_extend_leases: Whether it may renew, and only renew, although its lease is
+            not valid: during an outage of the store.
     """
 
     workers: Workers
@@ -70,12 +70,13 @@
     epoch: int
     lease_seconds: float
     may_act: Callable[[], bool]
-    may_care: Callable[[], bool]
+    may_extend_leases: Callable[[], bool]
 
     def check(self) -> None:
         """Refuse to act once this process's own lease has lapsed.
 
-        OWNER_STOPS_ACTING_AT_LAPSE: a process that was paused past its lease
+        OWNER_STOPS_ACTING_AT_LAPSE: a process that was paused past its lease fails
+            here, before it commands workers that have a new owner.
         finds out here, before it commands workers that have a new owner.
 
         Raises:
@@ -93,7 +94,7 @@
 async def _try_each(
     members: Sequence[Member], act: Callable[[Member], Awaitable[object]]
 ) -> list[tuple[str, ErrorKind]]:
-    """Do something for all members at once; return those that failed."""
+    """Call `act` for all members concurrently; return those that failed."""
 
     async def attempt(member: Member) -> tuple[str, ErrorKind] | None:
         try:
@@ -107,7 +108,9 @@
     return [failed for task in tasks if (failed := task.result()) is not None]
 
 
-def _fail(stage: Stage, failures: list[tuple[str, ErrorKind]]) -> StartOutcome:
+def _make_failed_outcome(
+    stage: Stage, failures: list[tuple[str, ErrorKind]]
+) -> StartOutcome:
     workers = tuple(worker for worker, _ in failures)
     return StartOutcome(stage, workers, failures[0][1])
 
@@ -133,7 +136,7 @@
     record: JobRecord,
     write_record: Callable[[], Awaitable[bool]],
 ) -> StartOutcome:
-    """Start a gang whole, or leave nothing of it running.
+    """Start all members of a gang, or leave none of them running.
 
     Args:
         command: The owner's authority over the cell.
@@ -142,8 +145,8 @@
         write_record: Writes it by compare-and-swap; False when it lost.
 
     Returns:
-        How far it came. After GO the record stands, and the gang may run in part
-        until its leases lapse: the caller stops the attempt.
+        The result. After a failure at GO the start is recorded, and the gang may run in
+        part until its leases lapse: the caller stops the attempt.
     """
     members = record.members
     orders = {
@@ -163,13 +166,13 @@
             member.worker, command.cell, command.epoch, orders[member.worker]
         )
 
-    # ALL_HELD_BEFORE_START: two full rounds before the record. The first fails
-    # fast on accelerators that are taken; only the second loads anything.
+    # ALL_HELD_BEFORE_START: every member is called twice before the record. The first
+    # call fails fast on accelerators that are taken; only the second loads anything.
     for stage, act in ((Stage.RESERVE, reserve), (Stage.PREPARE, prepare)):
         failures = await _try_each(members, act)
         if failures:
             await stop_gang(command, record)
-            return _fail(stage, failures)
+            return _make_failed_outcome(stage, failures)
     return await _record_and_go(command, record, write_record)
 
 
@@ -178,8 +181,8 @@
     record: JobRecord,
     write_record: Callable[[], Awaitable[bool]],
 ) -> StartOutcome:
-    # START_RECORDED_BEFORE_GO: were a member told to go first, and this process
-    # died, the next owner would find a job that waits and start it again.
+    # START_RECORDED_BEFORE_GO: if a member went first and this process died, the next
+    # owner would find a waiting job and start it again.
     try:
         command.check()
         written = await write_record()
@@ -192,14 +195,14 @@
         return StartOutcome(Stage.RECORD, (), kind)
     failures = await go_gang(command, record, record.members)
     if failures:
-        return _fail(Stage.GO, failures)
+        return _make_failed_outcome(Stage.GO, failures)
     return StartOutcome(Stage.STARTED)
 
 
 async def go_gang(
     command: Command, record: JobRecord, members: Sequence[Member]
 ) -> list[tuple[str, ErrorKind]]:
-    """Tell members to go, again if the answer is lost; return those that failed."""
+    """Send `go` to members, with retries if unanswered; return those that failed."""
     task_id = make_task_id(record.spec.job_id, record.attempt)
 
     async def go(member: Member) -> None:
@@ -235,8 +238,8 @@
 async def checkpoint_gang(command: Command, record: JobRecord) -> float:
     """Save a gang's progress; return the seconds that all members have saved.
 
-    A gang resumes from the least of its members' checkpoints. A member that
-    can't be reached leaves the figure of the record, which is always safe.
+    A gang resumes from the least of its members' checkpoints. If a member can't be
+    reached, the checkpoint in the record is returned, which is always safe.
     """
     task_id = make_task_id(record.spec.job_id, record.attempt)
     saved: list[float] = []
--- a/src/primrosestile/coordination/jobbook.py
+++ b/src/primrosestile/coordination/jobbook.py
@@ -1,11 +1,10 @@
 """The owner's copy of the job records of one cell.
 
-The records under `jobs/<cell>/` are few and changed by few: an entry creates one
-and may ask for its cancellation, the cell's owner does the rest. The owner keeps
-a copy with the revision of each, so that each step of a job is one compare-and-
-swap over exactly the state on which it was decided. A swap that fails means that
-someone else has written (a caller's cancellation, or a newer owner); the copy is
-refreshed and the step decided again.
+An entry creates a record under `jobs/<cell>/` and may request its cancellation; the
+cell's owner makes all other changes. The owner keeps a copy of each record with its
+revision, so that each change is one compare-and-swap on the state on which it was
+decided. A failed swap means that another process has written (a caller's cancellation,
+or a newer owner); the copy is refreshed and the decision made again.
 """
 
 import asyncio
@@ -25,10 +24,10 @@
 from primrosestile.protocol.store import Change, Entry, Store
 from primrosestile.state.jobs import JOBS_PREFIX, JobRecord, JobState
 
-# How long the record of an ended job can be read. A night's renders are looked
-# at the next morning; at 40,000 jobs a day and 2 KB each this is below 100 MB. It
-# is longer than claims live: a job whose record went before its claim would be
-# made anew by a caller that repeats its submission.
+# How long the record of an ended job is kept. A night's renders are checked the next
+# morning; at 40,000 jobs a day and 2 KB each this is below 100 MB. It is longer than
+# the life of a claim: if a record were removed before its claim, a repeated submission
+# would create the job again.
 RETENTION_SECONDS = 28 * 3600.0
 WATCH_RETRY_SECONDS = 0.5
 
@@ -36,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Booked:
+class StoredJob:
     """A record and the store revision at which it was read or written."""
 
     record: JobRecord
@@ -54,23 +53,23 @@
     return msgspec.json.decode(value, type=JobRecord)
 
 
-class JobBook:
+class JobTable:
     """Records of one cell, read and written by its owner."""
 
     def __init__(self, store: Store, cell: str) -> None:
         self._store = store
         self._prefix = f"{JOBS_PREFIX}{cell}/"
-        self._booked: dict[str, Booked] = {}
+        self._stored: dict[str, StoredJob] = {}
         self._by_state: dict[JobState, set[str]] = {state: set() for state in JobState}
         self._by_worker: dict[str, set[str]] = {}
         self._revision = 0
 
     def __iter__(self) -> Iterator[JobRecord]:
-        return iter([booked.record for booked in self._booked.values()])
+        return iter([stored.record for stored in self._stored.values()])
 
     def list_in(self, state: JobState) -> list[JobRecord]:
         """Return the records in one state."""
-        return [self._booked[job_id].record for job_id in self._by_state[state]]
+        return [self._stored[job_id].record for job_id in self._by_state[state]]
 
     def count_in(self, state: JobState) -> int:
         """Return how many records are in one state."""
@@ -79,61 +78,61 @@
     def list_on(self, worker: str) -> list[JobRecord]:
         """Return the records of started jobs with a member on a worker.
 
-        Asked at each round of each worker; a scan of a cell's few thousand
-        records would cost a placer with 1,667 workers several cores.
+        Called at each poll of each worker; a scan of a cell's few thousand records
+        would cost a placer with 1,667 workers several cores.
         """
         return [
-            self._booked[job_id].record for job_id in self._by_worker.get(worker, ())
+            self._stored[job_id].record for job_id in self._by_worker.get(worker, ())
         ]
 
-    def _put(self, booked: Booked) -> None:
-        """Take a record in unless the copy is newer.
+    def _put(self, stored: StoredJob) -> None:
+        """Put a record into the copy unless the copy is newer.
 
-        The watch can tell of a caller's cancellation before the answer to the
-        owner's own write arrives. With the older record put over it the
-        cancellation would be forgotten, and the job would run to its end.
+        The watch can deliver a caller's cancellation before the answer to the owner's
+        own write arrives. Overwriting it with the older record would lose the
+        cancellation, and the job would run to its end.
         """
-        record = booked.record
+        record = stored.record
         job_id = record.spec.job_id
-        known = self._booked.get(job_id)
-        if known is not None and known.revision >= booked.revision:
+        known = self._stored.get(job_id)
+        if known is not None and known.revision >= stored.revision:
             return
         self._drop(job_id)
-        self._booked[job_id] = booked
+        self._stored[job_id] = stored
         self._by_state[record.state].add(job_id)
         if record.state is JobState.STARTED:
             for member in record.members:
                 self._by_worker.setdefault(member.worker, set()).add(job_id)
 
     def _drop(self, job_id: str) -> None:
-        booked = self._booked.pop(job_id, None)
-        if booked is None:
+        stored = self._stored.pop(job_id, None)
+        if stored is None:
             return
-        self._by_state[booked.record.state].discard(job_id)
-        if booked.record.state is JobState.STARTED:
-            for member in booked.record.members:
+        self._by_state[stored.record.state].discard(job_id)
+        if stored.record.state is JobState.STARTED:
+            for member in stored.record.members:
                 self._by_worker[member.worker].discard(job_id)
 
     def find(self, job_id: str) -> JobRecord | None:
         """Return the copy of a record."""
-        booked = self._booked.get(job_id)
-        return booked.record if booked else None
+        stored = self._stored.get(job_id)
+        return stored.record if stored else None
 
     async def load(self) -> None:
         """Read every record of the cell.
 
         Raises:
-            Failure: STORE_UNAVAILABLE; the copy is then as it was.
+            Failure: STORE_UNAVAILABLE; the copy is then unchanged.
         """
         entries, self._revision = await list_all(self._store, self._prefix)
-        for job_id in list(self._booked):
+        for job_id in list(self._stored):
             self._drop(job_id)
         for entry in entries:
             self._note(entry)
 
     def _note(self, entry: Entry) -> JobRecord:
         record = decode_job(entry.value)
-        self._put(Booked(record, entry.mod_revision))
+        self._put(StoredJob(record, entry.mod_revision))
         return record
 
     async def refresh(self, job_id: str) -> JobRecord | None:
@@ -145,16 +144,19 @@
         return self._note(entry)
 
     async def write(self, record: JobRecord, base: JobRecord) -> bool:
-        """Write over the revision of the record that was decided on.
+        """Write a record by compare-and-swap on the revision of `base`.
 
-        START_RECORD_COMPARED: a record changed by anyone since it was read makes
+        START_RECORD_COMPARED: if any process has changed the record since it was read,
+            nothing is written and this returns False, with the copy refreshed. That
+            includes a change that the watch has already merged into the copy: comparing
+            the copy's revision alone would overwrite a caller's cancellation.
         this return False, with the copy refreshed, and nothing is written. That
         includes a change that the watch has taken into the copy meanwhile: going
         by the copy's revision alone, a caller's cancellation would be overwritten.
 
         Args:
-            record: What is to stand.
-            base: The record from which it was made, as this book gave it out.
+            record: The new record.
+            base: The record from which it was made, as returned by this table.
 
         Raises:
             Failure: STORE_UNAVAILABLE, or STORE_ANSWER_LOST when it is not known
@@ -162,13 +164,13 @@
         """
         job_id = record.spec.job_id
         value = msgspec.json.encode(record)
-        booked = self._booked.get(job_id)
-        if booked is None or booked.record is not base:
+        stored = self._stored.get(job_id)
+        if stored is None or stored.record is not base:
             return False
-        expected = booked.revision
+        expected = stored.revision
         swap = await put_settled(self._store, make_job_key(job_id), value, expected)
         if swap.done:
-            self._put(Booked(record, swap.revision))
+            self._put(StoredJob(record, swap.revision))
             return True
         if swap.current is not None:
             self._note(swap.current)
@@ -176,28 +178,28 @@
             self._drop(job_id)
         return False
 
-    async def forget_old(self, now: float) -> None:
-        """Remove the records of jobs that ended long ago."""
-        for booked in list(self._booked.values()):
-            record = booked.record
+    async def remove_expired(self, now: float) -> None:
+        """Remove the records of jobs that ended more than RETENTION_SECONDS ago."""
+        for stored in list(self._stored.values()):
+            record = stored.record
             ended = record.state.is_final and record.finished_at
             if ended and now - record.finished_at > RETENTION_SECONDS:
                 job_id = record.spec.job_id
-                await delete_settled(self._store, make_job_key(job_id), booked.revision)
+                await delete_settled(self._store, make_job_key(job_id), stored.revision)
                 self._drop(job_id)
 
     async def follow(self, on_change: Callable[[JobRecord], None]) -> None:
-        """Take in others' changes until cancelled.
+        """Merge changes of other processes until cancelled.
 
-        A watch that breaks or goes silent may have missed a job that was just
-        accepted. One would notice an urgent job that waits with accelerators
-        free. So after each break everything is listed again.
+        A watch that ends may have missed a job that was just accepted, and an urgent
+        job would then wait although accelerators are free. So everything is listed
+        again each time.
         """
         while True:
             try:
                 watch = self._store.watch(self._prefix, self._revision + 1)
                 async for changes in watch:
-                    self._take_in(changes, on_change)
+                    self._merge(changes, on_change)
             except Failure as failure:
                 _log.info("jobs_watch_broke", kind=failure.kind.value)
             await asyncio.sleep(WATCH_RETRY_SECONDS * random.uniform(0.5, 1.5))
@@ -211,19 +213,21 @@
                 raise
             return
         for entry in entries:
-            self._take_entry(entry, on_change)
+            self._merge_entry(entry, on_change)
 
-    def _take_in(
+    def _merge(
         self, changes: tuple[Change, ...], on_change: Callable[[JobRecord], None]
     ) -> None:
         for change in changes:
             self._revision = max(self._revision, change.revision)
             if change.entry is not None:
-                self._take_entry(change.entry, on_change)
+                self._merge_entry(change.entry, on_change)
 
-    def _take_entry(self, entry: Entry, on_change: Callable[[JobRecord], None]) -> None:
-        """Take in a record unless the copy is as new; a watch may lag."""
+    def _merge_entry(
+        self, entry: Entry, on_change: Callable[[JobRecord], None]
+    ) -> None:
+        """Merge a record unless the copy is as new; a watch may lag."""
         job_id = entry.key.rpartition("/")[2]
-        known = self._booked.get(job_id)
+        known = self._stored.get(job_id)
         if known is None or known.revision < entry.mod_revision:
             on_change(self._note(entry))
--- a/src/primrosestile/coordination/membership.py
+++ b/src/primrosestile/coordination/membership.py
@@ -1,9 +1,9 @@
-"""This process's lease in the store, and the processes that hold one.
+"""The store lease of this process, and the processes that hold one.
 
-A process that owns a cell must know, by its own clock, when it may no longer act.
-The lease is therefore counted from the moment *before* a renewal was sent: the
-store cannot have counted from an earlier one. A process that was paused past that
-moment finds its lease invalid as soon as it runs again.
+A process that owns a cell must know, by its own clock, when it may no longer act. The
+lease is therefore counted from the time *before* a renewal was sent, since the store
+can't have counted from an earlier one. A process that was paused past its end finds the
+lease invalid as soon as it runs again.
 """
 
 import asyncio
@@ -23,25 +23,25 @@
 PROCESSES_PREFIX = "processes/"
 # Renewals are due three times within the time to live.
 RENEWALS_PER_LEASE = 3
-# Of the time to live, how long one renewal may take. A connection that has gone silent
-# is found by this, and leaves time for one more renewal on a new connection.
+# Timeout of one renewal, as a share of the time to live. It detects a silent connection
+# early enough for one more renewal on a new connection.
 RENEWAL_TIMEOUT_SHARE = 0.5
-# A process slow to hear of the store's answer stops acting this long before the
-# store can have given its cells away, since clocks run at different speeds.
+# A process stops acting this long before the store can have let its lease lapse, since
+# clocks run at different speeds.
 LEASE_MARGIN_SECONDS = 0.25
 STORE_RETRY_SECONDS = 0.5
-# The longest time between two failed calls: a third of the lease, a call's own
-# timeout, and a pause before the next try.
+# The longest time between two failed calls: a third of the lease, a call's own timeout,
+# and a pause before the retry.
 STORE_DOWN_SECONDS = 5.0
 
 _log = structlog.get_logger()
 
 
 class ProcessLease:
-    """One store lease, renewed by a task; everything this process owns hangs on it.
+    """One store lease, renewed by a task; all keys that this process owns use it.
 
-    It also knows whether the store is down: whether a call failed just now and none
-    succeeded since. A failure from before a pause says nothing about the present,
+    It also tracks whether the store is down: whether a call failed recently and none
+    has succeeded since. A failure from before a pause says nothing about the present,
     so it counts for no longer than the time between two calls.
     """
 
@@ -56,16 +56,16 @@
         self.lost.set()
 
     def is_valid(self) -> bool:
-        """Whether this process may act on what it owns, now."""
+        """Whether the lease is valid now, so that this process may act as an owner."""
         return self.lease != 0 and read_clock() < self._valid_until
 
     @property
     def store_down(self) -> bool:
-        """Whether a call to the store failed just now and none succeeded since."""
+        """Whether a call to the store failed recently and none has succeeded since."""
         return read_clock() - self._store_failed_at < STORE_DOWN_SECONDS
 
     async def run(self) -> None:
-        """Gain and renew until cancelled."""
+        """Acquire and renew the lease until cancelled."""
         while True:
             try:
                 await self._gain()
@@ -92,7 +92,7 @@
         period = self._seconds / RENEWALS_PER_LEASE
         due_at = read_clock() + period
         while True:
-            # At once when the one before took longer than a period to fail.
+            # No wait when the previous renewal took longer than a period to fail.
             await asyncio.sleep(max(0.0, due_at - read_clock()))
             asked_at = read_clock()
             due_at = asked_at + period
@@ -102,8 +102,8 @@
             except (Failure, TimeoutError):
                 self._store_failed_at = read_clock()
                 if not self.is_valid():
-                    # Renewing goes on: the store may come back before it has
-                    # counted the lease out, and then nothing has to be rebuilt.
+                    # Renewals continue: the store may recover before the lease has
+                    # lapsed there, and then nothing has to be rebuilt.
                     self._note_pause()
                 continue
             if not alive:
@@ -128,7 +128,7 @@
         self.lost.set()
 
     async def end(self) -> None:
-        """Give the lease back, so that others need not wait for it to lapse."""
+        """Revoke the lease, so that others need not wait for it to lapse."""
         if not self.lease:
             return
         try:
@@ -148,8 +148,8 @@
 class Directory:
     """The processes that hold a lease, as the store last showed them.
 
-    While the store is down the last picture stands: a process that has died since
-    is found out by its silence, and a new one cannot have registered.
+    While the store is down the last list is kept: a process that has died since does
+    not answer, and a new one can't have registered.
     """
 
     def __init__(self, store: Store) -> None:
@@ -192,7 +192,7 @@
             for each in entries
         }
         self.listed.set()
-        self._tell()
+        self._notify()
         return revision
 
     def _apply(self, changes: tuple[Change, ...]) -> None:
@@ -203,9 +203,9 @@
             else:
                 record = decode_process(change.entry.value)
                 self._known[name] = _Known(record, change.revision)
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self._listeners:
             listener()
 
@@ -243,13 +243,13 @@
         key = PROCESSES_PREFIX + self.record.name
         value = msgspec.json.encode(self.record)
         current = await self._store.get(key)
-        # A record left by an earlier incarnation of the same name is replaced:
-        # its lease may still have seconds to run, and the name is ours by now.
+        # A record of an earlier incarnation with the same name is replaced: its lease
+        # may still have seconds to run, but this process has the name now.
         expected = current.mod_revision if current else 0
         await put_settled(self._store, key, value, expected, self._lease.lease)
 
     async def announce_leaving(self) -> None:
-        """Show the process as leaving, so that peers hand it nothing more."""
+        """Mark the process as leaving, so that peers hand it nothing more."""
         self.record = replace(self.record, leaving=True)
         if not self._lease.is_valid():
             return
--- a/src/primrosestile/coordination/ownership.py
+++ b/src/primrosestile/coordination/ownership.py
@@ -1,13 +1,13 @@
-"""Which cells this process owns, and under which epoch.
+"""Acquires, keeps and hands over the cells of one placer.
 
-A cell belongs to whoever holds the key `cells/<cell>` under a live lease. The key
-is created only where none stands, so there is one owner at a time; its create
-revision is the epoch, which rises with each owner because the store only counts
-up. When a placer dies, its keys lapse and others create them anew.
+The owner of a cell is the process that holds the key `cells/<cell>` under a live lease.
+The key is created only if it is absent, so there is one owner at a time; its create
+revision is the epoch, which rises with each owner because the store's revisions only
+increase. When a placer dies, its keys lapse and other placers create them again.
 
-Placers order themselves for each cell by a hash of both names. The first in order
-tries at once and each next one a little later, so that cells spread evenly and a
-lapse does not make every placer write at the same moment.
+Placers are ranked for each cell by a hash of both names. The first one tries at once
+and each next one a little later, so that cells spread evenly and a lapse does not make
+every placer write at the same moment.
 """
 
 import asyncio
@@ -23,11 +23,11 @@
 from primrosestile.coordination.membership import Directory, ProcessLease
 from primrosestile.coordination.ownertable import (
     CELLS_PREFIX,
-    Owned,
+    CellOwnership,
     OwnerTable,
     decode_owned,
 )
-from primrosestile.coordination.placing import Elsewhere
+from primrosestile.coordination.placing import OtherCells
 from primrosestile.coordination.writing import delete_settled, put_settled
 from primrosestile.decisions.locality import rank_placers
 from primrosestile.decisions.settings_view import view_settings
@@ -38,21 +38,20 @@
 from primrosestile.state.jobs import CellOwner, ProcessRecord
 from primrosestile.state.settings import Settings
 
-# The head start of each placer over the next in the order of a cell.
+# Delay in acquiring a cell for each place in its ranking of placers.
 RANK_DELAY_SECONDS = 0.3
-# A cell that nobody has taken is looked at again after this; covers a watch that
-# missed a lapse.
+# A cell without an owner is checked again after this, in case a watch missed a lapse.
 RECHECK_SECONDS = 1.0
-# An owner that is not the first in a cell's order hands it to the first one once
-# that one has stood in the directory this long: restarts come in pairs, and each
-# hand-over costs a recovery.
+# An owner that is not first in a cell's ranking hands the cell to the first placer once
+# that one has been first this long: restarts come in pairs, and each hand-over costs a
+# recovery.
 BALANCE_AFTER_SECONDS = 20.0
 
 _log = structlog.get_logger()
 
 
 class Ownership:
-    """Gains, keeps and hands over cells for one placer process."""
+    """Acquires, keeps and hands over cells for one placer process."""
 
     def __init__(
         self,
@@ -62,7 +61,7 @@
         directory: Directory,
         record: ProcessRecord,
         task_lease_seconds: float,
-        elsewhere: Elsewhere,
+        other_cells: OtherCells,
     ) -> None:
         self._store = store
         self._workers = workers
@@ -70,12 +69,12 @@
         self._directory = directory
         self._record = record
         self._task_lease_seconds = task_lease_seconds
-        self._elsewhere = elsewhere
+        self._other_cells = other_cells
         self._settings = Settings()
         self._settings_changed = asyncio.Event()
         self._table = OwnerTable(store)
         self._keepers: dict[str, CellKeeper] = {}
-        self._followed = 0
+        self._polled_count = 0
         self._listed_leaving: frozenset[str] = frozenset()
         self._leaving = False
         self._first_since: dict[str, float] = {}
@@ -87,11 +86,11 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings that its cells run by."""
+        """The settings that its cells use."""
         return self._settings
 
     def take_settings(self, settings: Settings) -> None:
-        """Run by new settings; a cell whose workers or promises changed restarts."""
+        """Apply new settings; a cell whose workers or guarantees changed restarts."""
         self._settings = settings
         self._settings_changed.set()
         self._settings_changed = asyncio.Event()
@@ -117,7 +116,7 @@
             tasks[name] = group.create_task(self._hold(name), name=f"cell {name}")
 
     async def _hold(self, name: str) -> None:
-        """Own one cell whenever it is ours to own."""
+        """Acquire and run one cell whenever this process may own it."""
         while True:
             await self._lease.gained.wait()
             epoch = await self._acquire(name)
@@ -135,7 +134,7 @@
             return
 
     async def _acquire(self, name: str) -> int | None:
-        """Return the epoch of a cell that is now ours, or None."""
+        """Try to acquire a cell; return its epoch, or None."""
         owned = self._table.find(name)
         if owned is not None and not self._is_own(owned):
             return None
@@ -149,7 +148,7 @@
             _log.info("cell_not_acquired", cell=name, kind=failure.kind.value)
             return None
 
-    def _is_own(self, owned: Owned) -> bool:
+    def _is_own(self, owned: CellOwnership) -> bool:
         return owned.owner.process == self._holder
 
     @property
@@ -187,7 +186,7 @@
         return current.create_revision
 
     async def _run_keepers(self, name: str, epoch: int) -> None:
-        """Run the cell until it is lost; again with each change of its settings."""
+        """Run the cell until it is lost, and restart it when its settings change."""
         _log.info("cell_acquired", cell=name, epoch=epoch)
         lease = self._lease.lease
         while True:
@@ -214,15 +213,15 @@
             epoch=epoch,
             lease_seconds=self._task_lease_seconds,
             may_act=lambda: self._lease.is_valid() and self._lease.lease == lease,
-            may_care=lambda: self._lease.store_down,
+            may_extend_leases=lambda: self._lease.store_down,
         )
         return CellKeeper(
             cell,
             self._store,
             command,
             lambda: self._settings,
-            self._elsewhere,
-            lambda: self._followed,
+            self._other_cells,
+            lambda: self._polled_count,
             lambda: self._count_used_elsewhere(cell.name),
         )
 
@@ -231,23 +230,23 @@
             self._keepers.pop(name, None)
         else:
             self._keepers[name] = keeper
-        # Asked at each round of each worker, so it is counted here.
-        self._followed = sum(each.worker_count for each in self._keepers.values())
+        # Read at each poll of each worker, so it is computed here.
+        self._polled_count = sum(each.worker_count for each in self._keepers.values())
 
     def _count_used_elsewhere(self, cell: str) -> Counter[str]:
-        """Return what teams hold outside a cell: here exactly, elsewhere lately."""
-        used = self._elsewhere.count_used(self._keepers.keys())
+        """Return what teams hold outside a cell; exact for this process's cells."""
+        used = self._other_cells.count_used(self._keepers.keys())
         for name, keeper in self._keepers.items():
             if name != cell:
                 used.update(keeper.count_used())
         return used
 
     def note_listed(self, leaving: frozenset[str]) -> None:
-        """Take in which workers the VM list shows as leaving.
+        """Record which workers the VM list shows as leaving.
 
-        Kept for cells that are taken over later: a new owner that knew only what
-        workers say themselves would place work on one that the list shows as
-        leaving, until the list is read the next time.
+        Kept for cells that are acquired later: a new owner that knew only the workers'
+        own reports would place work on one that the list shows as leaving, until the
+        list is read the next time.
         """
         self._listed_leaving = leaving
         for keeper in self._keepers.values():
@@ -258,9 +257,9 @@
     ) -> bool:
         """Return False when the cell is lost, True when its settings changed.
 
-        A lease that could not be renewed does not end the keeper: while the store
-        is down it goes on renewing what runs, and nothing else. It ends when the
-        store shows that the key is not ours any more, or a worker has seen a
+        A failed renewal of the process lease does not end the keeper: while the store
+        is down it keeps renewing what runs, and does nothing else. It ends when the
+        store shows that this process no longer holds the key, or a worker has seen a
         higher epoch.
         """
         while True:
@@ -270,7 +269,7 @@
                 return False
             if keeper.needs_restart(self._settings):
                 return True
-            if await self._hand_to_first(name, keeper):
+            if await self._hand_over_to_first(name, keeper):
                 return False
             await self._wait_for_change(RECHECK_SECONDS / 2)
 
@@ -278,11 +277,11 @@
         owned = self._table.find(name)
         if owned is None or owned.create_revision > epoch:
             return True
-        # A new lease of ours does not hold what hung on the one before it.
+        # Keys under this process's former lease are not kept by its new one.
         return self._lease.is_valid() and self._lease.lease != lease
 
-    async def _hand_to_first(self, name: str, keeper: CellKeeper) -> bool:
-        """Hand a cell to the first placer of its order, once that one is settled."""
+    async def _hand_over_to_first(self, name: str, keeper: CellKeeper) -> bool:
+        """Hand a cell to the first placer of its ranking, once it has stayed first."""
         if self._leaving or self._rank_of(name) == 0:
             self._first_since.pop(name, None)
             return False
@@ -291,9 +290,9 @@
             return False
         self._first_since.pop(name, None)
         await keeper.drain()
-        return await self._give_up(name)
+        return await self._release_key(name)
 
-    async def _give_up(self, name: str) -> bool:
+    async def _release_key(self, name: str) -> bool:
         owned = self._table.find(name)
         if owned is None or not self._is_own(owned):
             return True
@@ -301,31 +300,32 @@
             given = await delete_settled(
                 self._store, CELLS_PREFIX + name, owned.mod_revision
             )
-            # Not seen by the watch yet; taken for still owned, the cell would be
-            # created anew at once, before the placer that it was given up for.
-            self._table.forget(name, owned.mod_revision)
+            # The watch has not shown the removal yet. If the cell still counted as
+            # owned here, this process would create the key again at once, before the
+            # placer that it was released for.
+            self._table.remove(name, owned.mod_revision)
             return given
         except Failure as failure:
             _log.warning("cell_not_handed_over", cell=name, kind=failure.kind.value)
             return False
 
     async def leave(self) -> None:
-        """Hand every cell over: finish what is under way, then give up the keys."""
+        """Hand over every cell: finish the running actions, then delete the keys."""
         self._leaving = True
         async with asyncio.TaskGroup() as group:
             for name, keeper in list(self._keepers.items()):
-                group.create_task(self._drain_and_give_up(name, keeper))
+                group.create_task(self._drain_and_release(name, keeper))
 
-    async def _drain_and_give_up(self, name: str, keeper: CellKeeper) -> None:
+    async def _drain_and_release(self, name: str, keeper: CellKeeper) -> None:
         await keeper.drain()
-        await self._give_up(name)
+        await self._release_key(name)
 
 
 async def _end_task(task: "asyncio.Task[None]") -> None:
     """End a keeper's task; a fault in it is logged and must not end the process.
 
-    One record that a keeper stumbles over would otherwise end the placer, then
-    the next placer that takes the cell over, and so on through all of them.
+    Otherwise one record that crashes a keeper would end this placer, then the next
+    placer that acquires the cell, and so on through all of them.
     """
     task.cancel()
     await asyncio.wait({task})
--- a/src/primrosestile/coordination/ownertable.py
+++ b/src/primrosestile/coordination/ownertable.py
@@ -1,4 +1,4 @@
-"""Who owns each cell, as the store shows it."""
+"""The owner of each cell, as the store shows it."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Owned:
+class CellOwnership:
     """A cell that the store shows as owned.
 
     Attributes:
@@ -32,26 +32,26 @@
 
 
 class OwnerTable:
-    """Who owns each cell, by list and watch of `cells/`."""
+    """The owner of each cell, by list and watch of `cells/`."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self._owned: dict[str, Owned] = {}
+        self._owned: dict[str, CellOwnership] = {}
         self.changed = asyncio.Event()
         self.listed = asyncio.Event()
 
-    def find(self, cell: str) -> Owned | None:
+    def find(self, cell: str) -> CellOwnership | None:
         """Return the owner of a cell as last seen."""
         return self._owned.get(cell)
 
     def note(self, entry: Entry) -> None:
-        """Take in a key that this process has just written or read."""
+        """Record a key that this process has just written or read."""
         known = self._owned.get(_cell_of(entry.key))
         if known is None or known.mod_revision < entry.mod_revision:
             self._owned[_cell_of(entry.key)] = decode_owned(entry)
 
-    def forget(self, cell: str, revision: int) -> None:
-        """Take in the removal of a key by this process."""
+    def remove(self, cell: str, revision: int) -> None:
+        """Record the removal of a key by this process."""
         known = self._owned.get(cell)
         if known is not None and known.mod_revision <= revision:
             del self._owned[cell]
@@ -63,7 +63,7 @@
                 entries, revision = await list_all(self._store, CELLS_PREFIX)
                 self._replace(entries, revision)
                 self.listed.set()
-                self._tell()
+                self._notify()
                 async for changes in self._store.watch(CELLS_PREFIX, revision + 1):
                     self._apply(changes)
             except Failure as failure:
@@ -71,7 +71,7 @@
             await asyncio.sleep(WATCH_RETRY_SECONDS * random.uniform(0.6, 1.4))
 
     def _replace(self, entries: list[Entry], revision: int) -> None:
-        """Take in a listing, but keep what was written after it was made."""
+        """Replace the table by a listing, but keep entries newer than it."""
         newer = {
             cell: owned
             for cell, owned in self._owned.items()
@@ -91,9 +91,9 @@
                 self._owned.pop(cell, None)
             else:
                 self._owned[cell] = decode_owned(change.entry)
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -102,7 +102,7 @@
     return key.removeprefix(CELLS_PREFIX)
 
 
-def decode_owned(entry: Entry) -> Owned:
+def decode_owned(entry: Entry) -> CellOwnership:
     """Return the owner in a stored value."""
     owner = msgspec.json.decode(entry.value, type=CellOwner)
-    return Owned(owner, entry.create_revision, entry.mod_revision)
+    return CellOwnership(owner, entry.create_revision, entry.mod_revision)
--- a/src/primrosestile/coordination/placing.py
+++ b/src/primrosestile/coordination/placing.py
@@ -1,8 +1,8 @@
 """Carries out the placement decisions of one owned cell.
 
-Each pass asks the decisions, in their order, what to do with each waiting job,
-takes the accelerators in the view at once, and starts a task for what takes time.
-So two decisions of one pass never give the same accelerators away twice.
+Each pass decides on the waiting jobs in their order, holds the accelerators in the view
+at once, and starts a task for each action that takes time. So no two decisions of one
+pass use the same accelerators.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from primrosestile.coordination.actions import JobActions, make_reason
 from primrosestile.coordination.celldata import CellData, make_demand, make_holding
 from primrosestile.coordination.shifting import find_destination, move_job
-from primrosestile.coordination.upkeep import Upkeep
+from primrosestile.coordination.upkeep import Housekeeping
 from primrosestile.decisions.backfill import order_demands
 from primrosestile.decisions.cell import Demand, Holding
 from primrosestile.decisions.cell_selection import CellSummary
@@ -33,21 +33,20 @@
 from primrosestile.state.jobs import JobRecord, JobState, ReasonCode
 from primrosestile.state.tenancy import Shape
 
-# A pass without an event: bounds the harm of a wake-up that was missed.
+# The longest time between two passes, in case a wake-up was missed.
 RECHECK_SECONDS = 1.0
-# Decisions of one pass that differ from those before. At the larger cells one
-# takes up to 2 ms, so a pass blocks the loop, and the renewals on it, for at most
-# half a second.
+# Jobs that one pass decides on. In the larger cells a decision takes up to 2 ms, so a
+# pass blocks the loop, and the renewals on it, for at most half a second.
 PASS_LIMIT = 256
-# Moves begun in one pass: three writes each, so that a full cell's queue does not
-# take the store's several hundred writes a second for itself.
-SHIFTS_PER_PASS = 16
+# Moves begun in one pass. Each takes three writes, and the queue of a full cell must
+# not use up the store's several hundred writes a second.
+MOVES_PER_PASS = 16
 OPENING_CHECK_SECONDS = 0.05
 
 _log = structlog.get_logger()
 
 
-class Elsewhere(Protocol):
+class OtherCells(Protocol):
     """What is known of the other cells."""
 
     def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
@@ -59,11 +58,11 @@
         ...
 
     def count_used(self, skipped: Collection[str]) -> Counter[str]:
-        """Return the accelerators that each team holds, but for some cells."""
+        """Return the accelerators that each team holds, without some cells."""
         ...
 
 
-class Placing:
+class CellPlacement:
     """Places, reclaims and explains the waiting jobs of one cell."""
 
     def __init__(
@@ -71,23 +70,23 @@
         data: CellData,
         actions: JobActions,
         store: Store,
-        elsewhere: Elsewhere,
+        other_cells: OtherCells,
     ) -> None:
         self._data = data
         self._actions = actions
         self._store = store
-        self._elsewhere = elsewhere
-        self._upkeep = Upkeep(data, actions, store)
+        self._other_cells = other_cells
+        self._housekeeping = Housekeeping(data, actions, store)
         self._woken = asyncio.Event()
         self._closed = False
-        self._shifts_left = SHIFTS_PER_PASS
+        self._moves_left = MOVES_PER_PASS
 
     def close(self) -> None:
-        """Decide nothing more; the cell is about to be handed on."""
+        """Stop deciding, before the cell is handed over."""
         self._closed = True
 
     def wake(self) -> None:
-        """Decide again: a job came, or room did."""
+        """Request a pass, since a job arrived or accelerators became free."""
         self._woken.set()
 
     async def run(self) -> None:
@@ -96,7 +95,7 @@
             while True:
                 self._woken.clear()
                 if self._data.command.may_act() and not self._closed:
-                    self._upkeep.run_pass(group)
+                    self._housekeeping.run_pass(group)
                     self._run_pass(group)
                 try:
                     async with asyncio.timeout(RECHECK_SECONDS):
@@ -105,7 +104,7 @@
                     continue
 
     async def wait_until_idle(self) -> None:
-        """Wait until no action on any job is under way."""
+        """Wait until no action on any job is in progress."""
         while self._data.busy:
             # The end of each action wakes this module.
             self._woken.clear()
@@ -113,10 +112,10 @@
 
     def _run_pass(self, group: asyncio.TaskGroup) -> None:
         data = self._data
-        self._shifts_left = SHIFTS_PER_PASS
+        self._moves_left = MOVES_PER_PASS
         demands = [
             make_demand(record)
-            for record in data.book.list_in(JobState.ACCEPTED)
+            for record in data.job_table.list_in(JobState.ACCEPTED)
             if record.spec.job_id not in data.busy and data.may_try(record.spec.job_id)
         ]
         if not demands:
@@ -125,7 +124,7 @@
         policy = data.read_policy()
         ordered = order_demands(demands, data.view, policy, data.run_times, now)
         for demand, decision in self._decide_each(ordered, now):
-            record = data.book.find(demand.job_id)
+            record = data.job_table.find(demand.job_id)
             if record is not None:
                 self._carry_out(group, record, decision)
 
@@ -134,9 +133,9 @@
     ) -> Iterator[tuple[Demand, Decision]]:
         """Yield the decisions of one pass; a team over its quota waits.
 
-        A worker in quarantine may get one run of work that can be run again, to
-        see whether it is well. That work is decided on last, with the worker
-        usable; everything else must not see it as free.
+        A worker in quarantine may get one canary run of restartable work. That work is
+        decided on last, with the worker usable; for all other work it must not count as
+        free.
         """
         data = self._data
         policy = data.read_policy()
@@ -185,28 +184,28 @@
             case Waits():
                 reason = make_reason(decision.reason, decision.detail)
                 self._data.waiting_reasons[record.spec.job_id] = reason
-                self._consider_shift(group, record)
+                self._consider_move(group, record)
             case NeverFits():
                 end = self._actions.end(
                     record, JobState.FAILED, ReasonCode.NEVER_FITS, decision.detail
                 )
                 self._actions.spawn(group, record, end)
 
-    def _consider_shift(self, group: asyncio.TaskGroup, record: JobRecord) -> None:
+    def _consider_move(self, group: asyncio.TaskGroup, record: JobRecord) -> None:
         """Move a job that waits here to a cell that could start it now."""
-        if self._shifts_left <= 0:
+        if self._moves_left <= 0:
             return
         shape = record.spec.shape
-        pictures = self._elsewhere.list_pictures(record.spec.organisation, shape)
-        here = next((each for each in pictures if each.cell == self._data.name), None)
-        others = [each for each in pictures if each.cell != self._data.name]
+        summaries = self._other_cells.list_pictures(record.spec.organisation, shape)
+        here = next((each for each in summaries if each.cell == self._data.name), None)
+        others = [each for each in summaries if each.cell != self._data.name]
         if here is None:
             return
         entitled = is_entitled(self._data.view, make_demand(record))
         destination = find_destination(record, entitled, here, others)
         if destination is not None:
-            self._shifts_left -= 1
-            self._elsewhere.note_handed(destination, shape.accelerators)
+            self._moves_left -= 1
+            self._other_cells.note_handed(destination, shape.accelerators)
             move = move_job(self._store, self._data, record, destination)
             self._actions.spawn(group, record, move)
 
@@ -227,16 +226,16 @@
         self, group: asyncio.TaskGroup, record: JobRecord, reclaim: Reclaim
     ) -> None:
         data = self._data
-        # Those that are being stopped for another job already only need waiting for.
+        # Victims that are being stopped for another job already are only waited for.
         to_stop = [each for each in reclaim.victims if each not in data.view.stopping]
         if any(victim in data.busy for victim in to_stop):
-            # It is just starting or finishing; the end of that action wakes the
+            # The victim is just starting or finishing; the end of that action wakes the
             # next pass.
             return
         chosen = [
             victim
             for each in to_stop
-            if (victim := data.book.find(each)) is not None
+            if (victim := data.job_table.find(each)) is not None
             and victim.state is JobState.STARTED
         ]
         if len(chosen) != len(to_stop):
@@ -265,10 +264,10 @@
         holding: Holding,
         victims: list[JobRecord],
     ) -> None:
-        """Stop the victims at once, then start the job in the room they leave.
+        """Stop the victims concurrently, then start the job on their accelerators.
 
-        The view keeps the place meanwhile, so that no other pass gives the freed
-        accelerators to a job behind this one.
+        The view reserves the accelerators meanwhile, so that no other pass gives them
+        to a job behind this one.
         """
         started_at = read_clock()
         job_id = record.spec.job_id
--- a/src/primrosestile/coordination/reconciling.py
+++ b/src/primrosestile/coordination/reconciling.py
@@ -1,9 +1,9 @@
-"""What a new owner does about each job and task that it finds. Pure.
+"""Decides what a new owner does about each job and task that it finds. Pure.
 
-A placer that dies leaves records in the store and tasks on workers, at any stage
-of a start. The two are compared once, after every reachable worker has seen the
-new epoch (FENCE_BEFORE_ACTING): from then on the old owner can change nothing, so
-the picture that is decided on can't move underneath the decision.
+A placer that dies leaves records in the store and tasks on workers, at any stage of a
+start. The two are compared once, after every reachable worker has seen the new epoch
+(FENCE_BEFORE_ACTING): from then on the old owner can change nothing, so the compared
+state can't change during the decision.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """The attempt is whole as far as can be seen; members that are held must go."""
+    """No member of the attempt is known to be missing; held members must go."""
 
     record: JobRecord
     held: tuple[Member, ...]
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """A member is gone: the rest is to be stopped, then the job decided on."""
+    """A member is missing: the others are stopped, then the job is decided on."""
 
     record: JobRecord
     missing: tuple[str, ...]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Orphan:
-    """A task that no record asks for any more."""
+    """A live task that no started record names."""
 
     worker: str
     task_id: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """All that a new owner has to do, in this order: stop, then adopt."""
+    """What a new owner has to do: stop orphans first, then handle the jobs."""
 
     orphans: tuple[Orphan, ...]
     lost: tuple[Lost, ...]
@@ -60,8 +60,8 @@
     for member in record.members:
         report = reports.get(member.worker)
         if report is None:
-            # Not reachable is not gone: its task may run until its lease lapses,
-            # and the worker's own task decides then.
+            # An unreachable worker may run the task until its lease lapses; the
+            # coroutine that polls this worker decides then.
             continue
         task = _find_task(report, task_id)
         if task is None or task.phase is TaskPhase.STOPPED:
--- a/src/primrosestile/coordination/relay.py
+++ b/src/primrosestile/coordination/relay.py
@@ -1,13 +1,13 @@
-"""Pass settings on between processes, so that few of them watch the store.
+"""Passes settings on between processes, so that few of them watch the store.
 
-The watchers of a failure domain send each change to the processes of their domain
-at once. Messages get lost, so each process also asks another one now and then for
-what is newer than its own; a change that was missed comes that way within seconds.
-A process that hears from no peer watches the store itself.
+The watchers of a failure domain send each change to the processes of their domain at
+once. Messages get lost, so each process also asks a random peer every few seconds for
+newer settings, which repairs a missed change. A process that gets no answer from any
+peer watches the store itself.
 
-Whatever comes from a peer goes through the same gate as what comes from the store:
-only a higher revision of a path is applied. So neither a late message, nor one
-sent twice, nor a peer that has slept for an hour can take a setting back.
+Values from a peer pass the same check as values from the store: only a higher revision
+of a path is applied. So neither a late or repeated message nor a peer that was paused
+for an hour can revert a setting.
 """
 
 import asyncio
@@ -33,33 +33,34 @@
 
 ROLE_SECONDS = 1.0
 ASK_TIMEOUT_SECONDS = 1.5
-# A digest of 232 paths is about 4 KB. Every 2 s it costs 2 KB/s of a process's
-# 28 KB/s, and a lost change is made good in a few rounds of the 11 s.
+# A digest of 232 paths is about 4 KB. Every 2 s it costs 2 KB/s of a process's 28 KB/s,
+# and a lost change is repaired within a few requests, inside the 11 s.
 REPAIR_LOW_SECONDS = 1.5
 REPAIR_HIGH_SECONDS = 2.5
-# Two or three rounds without an answer. Watching the store then still brings a
-# change within 11 s.
+# Two or three requests without an answer. Watching the store then still brings a change
+# within 11 s.
 ISOLATED_SECONDS = 6.0
 SEND_AT_ONCE = 16
-# One message stays well below what a peer reads in a second; the rest follows in
-# the next round.
+# One message stays well below what a peer reads in a second; the rest follows with the
+# next request.
 VALUES_LIMIT_BYTES = 512 * 1024
-# One peer alone may have slept through a change. Two that answer are taken as
-# enough, since each of them repairs itself from the others every 2 s.
+# One peer alone may have missed a change. Two that answer are enough, since each of
+# them repairs itself from the others every 2 s.
 STARTING_PEERS = 2
-# The store is asked first and answers in milliseconds when it is up.
-STORE_PATIENCE_SECONDS = 2.0
+# Time for the store to answer before peers are asked; it answers in milliseconds when
+# it is up.
+STORE_WAIT_SECONDS = 2.0
 
 _log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a process stands among the others.
+    """The identity of a process among its peers.
 
     Attributes:
         name: Its name.
-        failure_domain: Whose changes it passes on when it watches.
+        failure_domain: To whose processes it sends changes when it watches.
         seeds: Addresses of a few other processes, `ip:port`, asked when the store
             is down at the start.
     """
@@ -85,11 +86,11 @@
         self._list_records = list_records
         self._place = place
         self._chance = chance
-        self._heard_at = 0.0
+        self._answered_at = 0.0
         self._sending = asyncio.Semaphore(SEND_AT_ONCE)
 
     def add_handlers(self, messages: MessageTable) -> None:
-        """Answer the messages on settings that peers send."""
+        """Register the handlers of settings messages."""
         messages.add(SettingsDigest, self.answer)
         messages.add(SettingsValues, self.answer)
 
@@ -104,7 +105,7 @@
 
     async def run(self) -> None:
         """Follow and pass on until cancelled."""
-        self._heard_at = read_clock()
+        self._answered_at = read_clock()
         async with asyncio.TaskGroup() as group:
             group.create_task(self._take_roles())
             group.create_task(self._start_from_peers())
@@ -115,11 +116,11 @@
         """Whether this process should watch the store now."""
         if not self._follower.is_ready:
             return True
-        if read_clock() - self._heard_at > ISOLATED_SECONDS:
+        if read_clock() - self._answered_at > ISOLATED_SECONDS:
             return True
         records = self._list_records()
         if not any(record.name == self._place.name for record in records):
-            # Nobody would send changes to a process that isn't listed.
+            # Watchers don't send changes to a process that isn't listed.
             return True
         return self._place.name in choose_watchers(records, self._place.failure_domain)
 
@@ -140,12 +141,12 @@
     async def _start_from_peers(self) -> None:
         """Take the settings from several peers when the store is down at the start.
 
-        The highest revision of each path counts. From one peer alone a process
-        could go back behind what it had before its restart.
+        The highest revision of each path counts. With one peer alone a process could
+        revert to settings older than those it had before its restart.
         """
         needed = min(STARTING_PEERS, len(self._place.seeds))
         answered: set[str] = set()
-        await asyncio.sleep(STORE_PATIENCE_SECONDS)
+        await asyncio.sleep(STORE_WAIT_SECONDS)
         while needed and not self._follower.is_ready:
             for seed in self._place.seeds:
                 if await self._take_all(seed):
@@ -162,23 +163,23 @@
             await asyncio.sleep(pause)
             others = self._list_others()
             if not others:
-                # Alone, so there is nobody to hear from and nobody to miss.
-                self._heard_at = read_clock()
+                # Without peers a missing answer is no sign of isolation.
+                self._answered_at = read_clock()
                 continue
             await self._take_newer(self._chance.choice(others).peer)
 
     async def _take_all(self, peer: str) -> bool:
-        """Take over all that a peer has; return whether it answered to the end."""
+        """Apply all that is newer at a peer; return whether it answered to the end."""
         while True:
             count = await self._take_newer(peer)
             if not count:
                 return count is not None
 
     async def _take_newer(self, peer: str) -> int | None:
-        """Take over what is newer at a peer.
+        """Apply what is newer at a peer.
 
         Returns:
-            How many values it sent; None when it did not answer.
+            How many values it sent, 0 if none was applied; None when it did not answer.
         """
         digest = SettingsDigest(dict(self._follower.revisions))
         try:
@@ -187,9 +188,9 @@
             return None
         if not isinstance(answer, SettingsValues):
             return None
-        self._heard_at = read_clock()
+        self._answered_at = read_clock()
         applied = self._follower.apply(answer.values)
-        # Values that can't be read here would come again and again.
+        # Values that can't be read here would be sent again and again.
         return len(answer.values) if applied else 0
 
     async def _send_changes(self) -> None:
@@ -205,13 +206,13 @@
                 await self._send(self._pick(newer))
 
     async def _send(self, values: dict[str, bytes]) -> None:
-        near = [
+        local_records = [
             record
             for record in self._list_others()
             if record.failure_domain == self._place.failure_domain
         ]
         async with asyncio.TaskGroup() as group:
-            for record in near:
+            for record in local_records:
                 group.create_task(self._send_one(record.peer, SettingsValues(values)))
 
     async def _send_one(self, peer: str, values: SettingsValues) -> None:
@@ -219,7 +220,7 @@
             async with self._sending:
                 await self._peers.ask(peer, values, ASK_TIMEOUT_SECONDS)
         except Failure as failure:
-            # Not sent again: the peer asks for what it lacks within seconds.
+            # Not sent again: the peer requests missing values within seconds.
             _log.info("settings_not_passed_on", peer=peer, kind=failure.kind.value)
 
     def _list_others(self) -> list[ProcessRecord]:
@@ -236,7 +237,7 @@
     def _pick(self, paths: Sequence[str]) -> dict[str, bytes]:
         """Return the values of paths, as many as fit into one message.
 
-        The smallest go first, so that a large fleet can't hold up a team.
+        The smallest go first, so that a large fleet can't delay a team.
         """
         known = self._follower.values
         found = sorted((len(known[path]), path) for path in paths if path in known)
@@ -263,7 +264,7 @@
         follower: The settings in force in this process.
         peers: Connections to the other processes.
         list_records: Returns the live processes, this one included.
-        place: Where this process stands.
+        place: The identity of this process.
         chance: Chooses peers and pauses.
     """
     chance = chance or random.Random(place.name)
--- a/src/primrosestile/coordination/sending.py
+++ b/src/primrosestile/coordination/sending.py
@@ -1,15 +1,15 @@
-"""One sending of a request to a target whose slot is held for it."""
+"""Sends a request to a target whose slot is held for it."""
 
 import asyncio
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.turns import Turns
+from primrosestile.coordination.turns import SlotAssigner
 from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.decisions.routing import Outcome
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder, Targets
 
-SHORTEST_TIMEOUT_SECONDS = 0.001
+MIN_TIMEOUT_SECONDS = 0.001
 
 _OUTCOMES = {
     ErrorKind.NO_TARGET: Outcome.UNREACHABLE,
@@ -17,11 +17,11 @@
 }
 
 
-class Sending:
-    """Sends, frees the slot in any case, and tells what became of it."""
+class RequestSender:
+    """Sends requests; frees the slot and records the outcome in any case."""
 
-    def __init__(self, turns: Turns, targets: Targets) -> None:
-        self._turns = turns
+    def __init__(self, assigner: SlotAssigner, targets: Targets) -> None:
+        self._assigner = assigner
         self._targets = targets
 
     async def send(
@@ -36,29 +36,29 @@
         started = read_clock()
         outcome = Outcome.CANCELLED
         try:
-            limit = self._turns.router.limit_attempt(waiting, started)
-            timeout = max(SHORTEST_TIMEOUT_SECONDS, limit)
+            limit = self._assigner.router.limit_attempt(waiting, started)
+            timeout = max(MIN_TIMEOUT_SECONDS, limit)
             answer = await self._targets.send(target, order, timeout)
             if answer.leaving:
-                self._turns.router.note_leaving(target)
+                self._assigner.router.note_leaving(target)
             outcome = _judge(answer)
             return _accept(answer, target)
         except Failure as failure:
             outcome = _OUTCOMES.get(failure.kind, outcome)
             raise
         finally:
-            self._turns.finish(target, waiting, outcome, started)
+            self._assigner.finish(target, waiting, outcome, started)
 
     async def send_hedged(
         self, target: str, order: RequestOrder, waiting: QueuedRequest
     ) -> RequestAnswer:
-        """Send, and send once more elsewhere if the answer is late.
+        """Send, and send once more to another target if the answer is late.
 
-        Only the router may allow it, and it does so for idempotent urgent work
-        alone; the first good answer wins and the other sending is cancelled.
+        The router allows this for idempotent urgent work alone; the first good answer
+        wins and the other call is cancelled.
         """
         first = asyncio.create_task(self.send(target, order, waiting))
-        delay = self._turns.router.hedge_after(waiting, read_clock())
+        delay = self._assigner.router.hedge_after(waiting, read_clock())
         try:
             if delay is not None:
                 await asyncio.wait({first}, timeout=delay)
@@ -75,12 +75,12 @@
         order: RequestOrder,
         waiting: QueuedRequest,
     ) -> RequestAnswer:
-        router = self._turns.router
+        router = self._assigner.router
         now = read_clock()
         other = router.choose(waiting, now, frozenset({target}))
         if other is None or not router.may_retry(waiting, now):
             return await first
-        self._turns.start(other, waiting)
+        self._assigner.start(other, waiting)
         second = asyncio.create_task(self.send(other, order, waiting))
         try:
             return await _take_best({first, second})
@@ -89,10 +89,10 @@
 
 
 async def _take_best(pending: "set[asyncio.Task[RequestAnswer]]") -> RequestAnswer:
-    """Return the first good answer; if there is none, the gravest failure.
+    """Return the first good answer; if there is none, raise the gravest failure.
 
-    Of two failures the one that may have run counts: "not run" would be untrue if
-    only the other sending was refused.
+    A failure after which the request may have run is graver: "not run" would be false
+    if only the other call was refused.
     """
     failures: list[Failure] = []
     while pending:
@@ -112,7 +112,7 @@
 
 
 def _accept(answer: RequestAnswer, target: str) -> RequestAnswer:
-    """Return a good answer; turn the target's refusal or failure into a kind."""
+    """Return a good answer; raise the target's refusal or failure."""
     if not answer.ran:
         raise Failure(ErrorKind.TARGET_REFUSED, f"{target} refused it")
     if not answer.ok:
--- a/src/primrosestile/coordination/settingstore.py
+++ b/src/primrosestile/coordination/settingstore.py
@@ -1,10 +1,9 @@
-"""Change one stored setting, with its audit entry, by one compare-and-swap.
+"""Changes one stored setting, with its audit entry, by one compare-and-swap.
 
-Two operators may change one path at the same moment, the process may die between
-any two calls, and the store may do a write and lose the answer. One value that
-holds both the setting and its latest audit entries makes each of these harmless:
-there is no moment at which a change stands without its entry, or an entry
-without its change.
+Two operators may change one path at the same moment, the process may die between any
+two calls, and the store may apply a write and lose the answer. One value that holds
+both the setting and its latest audit entries makes each of these harmless: a change and
+its entry are always written together.
 """
 
 import asyncio
@@ -18,16 +17,16 @@
 from primrosestile.state.settings import SETTINGS_PREFIX, AuditEntry, StoredSetting
 
 AUDIT_PREFIX = "audit/"
-# Entries kept beside the value, by number and by the text in them. A history page
-# is then one read, and every watcher is sent the whole value at each change, so a
-# large fleet keeps its newest entry only.
-AUDIT_KEPT = 16
+# Limits on the entries stored with the value, in number and in characters. A history
+# page then takes one read; but every watcher is sent the whole value at each change, so
+# a large fleet keeps its newest entry only.
+AUDIT_KEPT_ENTRIES = 16
 AUDIT_KEPT_CHARACTERS = 256 * 1024
-# The workers of a failure domain are 124 KB as text in a fleet of 15,000, and twice
-# more in the newest audit entry, and repeat themselves; small values stay readable.
+# In a fleet of 15,000 the workers of a failure domain are 124 KB of repetitive text,
+# and twice more in the newest audit entry; small values stay readable.
 COMPRESS_ABOVE_BYTES = 32 * 1024
 VALUE_LIMIT_BYTES = 1_000_000
-# A lost answer is asked about this often, with a wait between, before the
+# Attempts to settle a write whose answer was lost, RETRY_SECONDS apart, before the
 # operator is told that the outcome isn't known.
 ATTEMPTS = 5
 RETRY_SECONDS = 0.2
@@ -62,13 +61,13 @@
     """Return the stored setting in `data`.
 
     Raises:
-        ValueError: When it is none.
+        ValueError: When `data` can't be decoded.
     """
     return _decoder.decode(_unpack(data))
 
 
 def encode_entry(entry: AuditEntry) -> bytes:
-    """Return the bytes of an audit entry that has a key of its own."""
+    """Return the stored bytes of a rolled audit entry."""
     return _pack(_encoder.encode(entry))
 
 
@@ -76,7 +75,7 @@
     """Return the audit entry in `data`.
 
     Raises:
-        ValueError: When it is none.
+        ValueError: When `data` can't be decoded.
     """
     return _entry_decoder.decode(_unpack(data))
 
@@ -118,8 +117,8 @@
     Args:
         store: The platform's store.
         path: Such as `fleet`, `workers/<failure domain>` or `teams/<team>`.
-        value: JSON text; empty removes the path but keeps its revision, so that
-            a path that comes back goes on counting up.
+        value: JSON text; empty removes the path but keeps its revision, so that a path
+            that is added again continues from it.
         expected: The path's revision that the operator has seen; 0 for none.
         actor: Name of the operator's key.
         comment: Why, in the operator's words.
@@ -172,20 +171,20 @@
 ) -> StoredSetting:
     audit = (*(current.audit if current else ()), change)
     kept = audit[-_count_kept(audit) :]
-    # Older entries get keys of their own before they are cut from the value. If
-    # this process dies in between, they stand twice, which readers pass over;
-    # the other way round an entry would be gone for good.
+    # Older entries are written under their own keys before they are cut from the value.
+    # If this process dies in between, they are stored twice, which readers handle; in
+    # the other order an entry would be lost.
     for old in audit[: -len(kept)]:
         await _roll_entry(store, path, old)
     return StoredSetting(change.revision, change.after, kept)
 
 
 def _count_kept(audit: tuple[AuditEntry, ...]) -> int:
-    """Return how many of the newest entries stay beside the value, at least 1."""
+    """Return how many of the newest entries stay with the value, at least 1."""
     room = AUDIT_KEPT_CHARACTERS
     for count, entry in enumerate(reversed(audit)):
         room -= len(entry.before) + len(entry.after)
-        if count == AUDIT_KEPT or (room < 0 and count):
+        if count == AUDIT_KEPT_ENTRIES or (room < 0 and count):
             return count
     return len(audit)
 
@@ -205,7 +204,7 @@
 async def _swap(
     store: Store, path: str, data: bytes, expected: int, change: AuditEntry
 ) -> None:
-    """Write, and find out what became of a write whose answer was lost.
+    """Write, and settle a write whose answer was lost.
 
     The same bytes with the same expected revision can be sent again: either this
     write or the lost one takes effect, never both.
@@ -221,8 +220,8 @@
                 raise
             if failure.kind is not ErrorKind.STORE_ANSWER_LOST and not lost:
                 raise
-            # Once an answer was lost, "unavailable" would be a lie: it says that
-            # nothing changed, and the operator would send the change again.
+            # After a lost answer "unavailable" would be wrong: it says that nothing
+            # changed, and the operator would send the change again.
             lost = True
             await asyncio.sleep(RETRY_SECONDS)
             continue
@@ -236,10 +235,10 @@
 
 
 async def _is_settled(store: Store, path: str, change: AuditEntry) -> bool:
-    """Return whether one's own change stands; False while nothing has changed.
+    """Return whether the change is stored; False while nothing has changed.
 
     Raises:
-        Failure: CONFLICT when another change took its place.
+        Failure: CONFLICT when another change was stored in its place.
     """
     current, _ = await read_setting(store, path)
     if await _find_entry(store, path, current, change.revision) == change:
--- a/src/primrosestile/coordination/shifting.py
+++ b/src/primrosestile/coordination/shifting.py
@@ -1,11 +1,11 @@
-"""Hands a waiting job from one cell to another.
+"""Moves a waiting job from one cell to another.
 
-A job's key lies under its cell, so a move is two keys, and the store changes one
-at a time. The record here is first written as MOVING, with the id that the job
-will have there; from then on it can't start here. Then the record there is
-created if it is absent, and last the one here becomes MOVED. Whoever takes the
-cell over between two of these steps finds MOVING and does the rest; doing a step
-twice changes nothing. The caller's id stays valid: it leads to the new one.
+A job's key contains its cell, so a move changes two keys, and the store changes one at
+a time. First the record here becomes MOVING, with the id that the job will have in the
+new cell; from then on it can't start here. Then the new record is created if it is
+absent, and last the one here becomes MOVED. An owner that takes the cell over between
+two of these steps finds MOVING and does the rest; each step is idempotent. The caller's
+id stays valid and leads to the new one.
 """
 
 from collections.abc import Sequence
@@ -43,8 +43,8 @@
     Args:
         record: The waiting job.
         entitled: Whether it is within its organisation's own guarantee here.
-        here: What is known of this cell.
-        others: What is known of the others.
+        here: Summary of this cell.
+        others: Summaries of the others.
     """
     now = read_wall_clock()
     moved = [
@@ -62,23 +62,23 @@
 async def move_job(
     store: Store, data: CellData, record: JobRecord, destination: str
 ) -> None:
-    """Move a waiting job; what is left undone is finished by `finish_move`."""
+    """Move a waiting job; `finish_move` completes an interrupted move."""
     moving = replace(
         record, state=JobState.MOVING, moved_to=make_job_id(destination)
     ).with_reason(
         make_reason(ReasonCode.MOVED_TO_CELL, f"from {data.name} to {destination}")
     )
-    if await data.book.write(moving, record):
+    if await data.job_table.write(moving, record):
         await finish_move(store, data, moving)
 
 
 async def finish_move(store: Store, data: CellData, record: JobRecord) -> None:
-    """Create the job in its new cell if it is not there, and let go of it here."""
+    """Create the job in its new cell if it is absent, and mark it as moved here."""
     spec = replace(record.spec, job_id=record.moved_to)
     there = replace(record, spec=spec, state=JobState.ACCEPTED, moved_to="")
     key = make_job_key(record.moved_to)
     await put_settled(store, key, msgspec.json.encode(there), 0)
     moved = replace(record, state=JobState.MOVED, finished_at=read_wall_clock())
-    await data.book.write(moved, record)
+    await data.job_table.write(moved, record)
     data.waiting_reasons.pop(record.spec.job_id, None)
     _log.info("job_moved", job_id=record.spec.job_id, moved_to=record.moved_to)
--- a/src/primrosestile/coordination/slotsharing.py
+++ b/src/primrosestile/coordination/slotsharing.py
@@ -1,7 +1,7 @@
-"""Grants of slots, by the owner of a cell to the entries that report to it.
+"""Grants the slots of a cell to the entries that report to its owner.
 
-Each entry reports its need once a second and reads its grants from the answer. An
-entry that has gone silent is granted nothing more; what it was granted lapses.
+Each entry reports its demand once a second and reads its grants from the answer. A
+silent entry gets no further grants, and its last ones lapse.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,12 +11,12 @@
 from primrosestile.decisions.slots import GRANT_SECONDS, make_grant_ledger
 from primrosestile.protocol.messages import DemandReport
 
-# Sharing more often than entries report would only grant the same slots again.
+# Granting more often than entries report would only repeat the same grants.
 SHARE_SECONDS = 0.8
 
 
-class SlotSharing:
-    """What entries need, and what they were granted, of one cell."""
+class SlotGrants:
+    """Demand of the entries for slots of one cell, and their grants."""
 
     def __init__(self) -> None:
         self._ledger = make_grant_ledger(read_clock())
@@ -26,12 +26,12 @@
         self._granted_at = -GRANT_SECONDS
 
     def note(self, report: DemandReport) -> None:
-        """Take in what an entry reports."""
+        """Record an entry's report."""
         self._reports[report.entry] = report
         self._reported_at[report.entry] = read_clock()
 
     def grant(self, contacts: Iterable[Contact]) -> dict[str, dict[str, int]]:
-        """Return the grants of this second by entry; they are made once for all."""
+        """Return the grants by entry, made at most once every SHARE_SECONDS."""
         now = read_clock()
         if now - self._granted_at >= SHARE_SECONDS:
             self._drop_silent(now)
@@ -50,8 +50,8 @@
     def seconds_left(self, entry: str) -> float:
         """Return for how long an entry's latest grant still holds; 0.0 for none.
 
-        An entry that reports between two sharings for the first time has none. A
-        grant of no slots would make it refuse all that comes.
+        An entry that reports for the first time between two grants has none. An empty
+        grant would make it refuse all requests.
         """
         if entry not in self._granted:
             return 0.0
--- a/src/primrosestile/coordination/submission.py
+++ b/src/primrosestile/coordination/submission.py
@@ -1,10 +1,9 @@
-"""Accepting, showing and cancelling gang jobs at an entry.
+"""Accepts, shows and cancels gang jobs at an entry.
 
-A job is accepted when its record stands in the store, before the caller reads
-202. A caller that lost the answer submits again under the same request id, perhaps
-at another entry, which might choose another cell: so the id of the job is fixed
-first, by a claim that names it, and the record is created under that id only if it
-is absent.
+A job is accepted when its record is in the store, before the caller reads 202. A caller
+that lost the answer submits again under the same request id, perhaps at another entry,
+which might choose another cell. So a claim first binds the request id to a job id, and
+the record is created under that id only if it is absent.
 """
 
 import asyncio
@@ -28,13 +27,13 @@
     ReasonCode,
 )
 
-# Writers that may meet on one record: its owner and a few impatient callers.
+# Several writers may change one record: its owner and a few impatient callers.
 CANCEL_TRIES = 8
-# A move is two writes; only when its owner dies between them does it take longer,
-# and then the caller is told to come back.
+# A move in progress needs two more writes. It takes longer only when its owner dies
+# between them, and then the caller is told to retry.
 MOVE_WAIT_SECONDS = 0.25
-# A job moves at most every half minute and is looked up within milliseconds; a
-# longer chain is a job that has been waiting for hours.
+# A job moves at most every half minute and is looked up within milliseconds; a longer
+# chain means a job that has been waiting for hours.
 MOVES_LIMIT = 1000
 
 _log = structlog.get_logger()
@@ -42,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A job as its caller asks for it; the id's cell is chosen already.
+    """A job as submitted by its caller; the id's cell is chosen already.
 
     Attributes:
         spec: With the id that is used if this is the first submission.
         request_id: The caller's own id; empty when it gave none.
-        fingerprint: Tells a repeated submission from another one.
+        fingerprint: Distinguishes a repeated submission from another one.
     """
 
     spec: JobSpec
@@ -61,7 +60,7 @@
 
 
 class Submissions:
-    """Gang jobs as one entry process handles them."""
+    """Gang jobs of one entry process."""
 
     def __init__(self, store: Store, claims: Claims) -> None:
         self._store = store
@@ -87,7 +86,7 @@
             spec=spec, state=JobState.ACCEPTED, accepted_at=read_wall_clock()
         ).with_reason(Reason(ReasonCode.ACCEPTED, read_wall_clock()))
         value = msgspec.json.encode(record)
-        # One that is there already is the same job, accepted before.
+        # An existing record is the same job, accepted before.
         await put_settled(self._store, make_job_key(spec.job_id), value, 0)
         _log.info("job_accepted", job_id=spec.job_id, organisation=spec.organisation)
         return spec.job_id
@@ -125,8 +124,8 @@
             if record.state.is_final or record.cancel_requested:
                 return record
             if record.state is JobState.MOVING:
-                # CANCEL_WAITS_FOR_MOVE: the new record may stand already, and
-                # what is written into this one is then read by nobody.
+                # CANCEL_WAITS_FOR_MOVE: the new record may exist already, and a
+                # cancellation in this one would then have no effect.
                 await asyncio.sleep(MOVE_WAIT_SECONDS)
                 continue
             asked = replace(record, cancel_requested=True)
--- a/src/primrosestile/coordination/vmwatch.py
+++ b/src/primrosestile/coordination/vmwatch.py
@@ -1,4 +1,4 @@
-"""Follows the platform's list of VMs: which of them are leaving."""
+"""Watches the platform's list of VMs for those that are leaving."""
 
 import asyncio
 import random
@@ -9,19 +9,18 @@
 from primrosestile.errors import Failure
 from primrosestile.protocol.workers import VmList
 
-# The list lags by itself; reading it more often finds nothing sooner.
+# The list itself lags, so reading it more often finds nothing sooner.
 READ_SECONDS = 2.0
 
 _log = structlog.get_logger()
 
 
 class VmWatch:
-    """Reads the list and tells what it shows.
+    """Reads the list and reports the leaving VMs.
 
     Attributes:
-        looked: Set after the first try, whether it succeeded or not. Who waits for
-            it knows what the list shows if that can be known, and is not kept
-            waiting by an outage of the list.
+        first_read: Set after the first read, whether it succeeded or not, so that an
+            outage of the list does not block those who wait for it.
     """
 
     def __init__(self, vm_list: VmList, note: Callable[[frozenset[str]], None]) -> None:
--- a/src/primrosestile/coordination/writing.py
+++ b/src/primrosestile/coordination/writing.py
@@ -1,17 +1,17 @@
-"""Compare-and-swap that survives a lost answer.
+"""Compare-and-swap that settles a write whose answer was lost.
 
-The store may carry out a write and lose its answer. One would notice a job
-accepted twice, or an owner that gives up a cell it holds. The write is settled by
-reading the key again: if it holds exactly the value that was sent, the write took
-effect. Every value written here is unique to its writer (a token, an epoch or a
-time in it), so another's write is not mistaken for one's own.
+The store may carry out a write and lose its answer. A job could then be accepted twice,
+or an owner give up a cell that it holds. So the key is read again: if it holds exactly
+the value that was sent, the write took effect. Every value written here is unique to
+its writer (a token, an epoch or a time in it), so another's write is not mistaken for
+one's own.
 """
 
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Entry, Store, SwapResult
 
-# Each further try means that one more answer was lost; a store that loses four
-# in a row is down for our purposes, and the caller is told so.
+# Each further try means that one more answer was lost; a store that loses four in a row
+# is treated as down, and the caller is told so.
 SETTLE_TRIES = 4
 
 
@@ -22,9 +22,11 @@
 async def put_settled(
     store: Store, key: str, value: bytes, expected: int, lease: int = 0
 ) -> SwapResult:
-    """Write if the key's revision is `expected`, and know whether it was made.
+    """Write if the key's revision is `expected`, and find out whether it was written.
 
-    LOST_WRITE_NOT_DISPROVED: a write whose answer was lost may still be on its way
+    LOST_WRITE_NOT_DISPROVED: a write whose answer was lost may still be in flight and
+        arrive after a read that does not show it. So after a lost answer the outcome is
+        either found in the store or unknown, never "not written".
     and land after a read that does not show it. So once one answer was lost, the
     outcome is either found in the store or unknown, never "not written".
 
@@ -50,7 +52,7 @@
 
 
 def _recognise(swap: SwapResult, value: bytes) -> SwapResult:
-    """Take a swap that lost against one's own earlier try for done."""
+    """Treat a swap that failed against one's own earlier try as done."""
     current = swap.current
     if not swap.done and current is not None and current.value == value:
         return SwapResult(True, current.mod_revision)
