--- a/features/doubles/cells.py
+++ b/features/doubles/cells.py
@@ -1,4 +1,4 @@
-"""Placers, a store and workers on one paused clock, and what must hold of them."""
+"""Placers, a store and workers on one paused clock, with checks of the guarantees."""
 
 import asyncio
 import random
@@ -53,12 +53,12 @@
 GANG = Shape(4, Adjacency.RACK)
 OWNER_LEASE_SECONDS = 4
 TASK_LEASE_SECONDS = 15.0
-# A gang that lost a member has stopped everywhere within one lease. A command on
-# its way takes at most its timeout, and one that comes late half a second more.
+# A gang that lost a member has stopped everywhere within one lease. A command in flight
+# takes at most its timeout, and a late one half a second more.
 PARTIAL_BOUND_SECONDS = TASK_LEASE_SECONDS + CONTROL_TIMEOUT_SECONDS + 0.5
 LEAVING_BOUND_SECONDS = 5.0
-# After every fault has ended: two leases, a recovery, and the longest pause before
-# a start is tried again, for four jobs of a minute, two at a time.
+# After every fault has ended: two leases, a recovery, and the longest delay before a
+# start is retried, for four jobs of a minute, two at a time.
 SETTLE_SECONDS = 300.0
 
 
@@ -78,15 +78,15 @@
     return Settings(fleet=fleet, guarantees=guarantees, teams=(team,))
 
 
-class NobodyEnds:
-    """Takes every holder of a claim for alive."""
+class NoHolderEnds:
+    """Treats every holder of a claim as alive."""
 
     def is_alive(self, holder: str) -> bool:
         return True
 
 
 class NoOtherCell:
-    """Knows of no cell that a waiting job could be moved to."""
+    """Reports no cell that a waiting job could be moved to."""
 
     def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
         return []
@@ -99,7 +99,7 @@
 
 
 class Placer:
-    """One placer process, wired as its program wires it."""
+    """One placer process, assembled like in its program."""
 
     def __init__(self, deployment: "Deployment", name: str, incarnation: int) -> None:
         self.process = SimulatedProcess(name)
@@ -164,11 +164,11 @@
 
 @dataclass(slots=True)
 class Submitted:
-    """One job as its caller sees it.
+    """One job as seen by its caller.
 
     Attributes:
         told: `accepted`, or the kind of the refusal.
-        not_run: Whether the caller was told that it did not run.
+        not_run: Whether the caller was told that the job did not run.
     """
 
     spec: JobSpec
@@ -177,7 +177,7 @@
 
 
 class Deployment:
-    """Everything of one fuzzed run."""
+    """The processes, store and workers of one fuzzed run."""
 
     def __init__(self, seed: int = 0) -> None:
         random.seed(seed)
@@ -199,7 +199,7 @@
         self.vm_list = MemoryVmList()
         self.entry_link = Link()
         store = FaultyStore(self.store, self.entry_link)
-        self.submissions = Submissions(store, Claims(store, "entry", NobodyEnds()))
+        self.submissions = Submissions(store, Claims(store, "entry", NoHolderEnds()))
         for name in PLACERS:
             self._start_placer(name)
 
@@ -213,7 +213,7 @@
         self.runner.advance(seconds)
 
     def submit(self, seconds: float, restartable: bool) -> None:
-        """Submit a gang of two whole workers, and note what its caller is told."""
+        """Submit a gang of two whole workers, and record the answer to its caller."""
         self.runner.run(self._submit(seconds, restartable))
 
     async def _submit(self, seconds: float, restartable: bool) -> None:
@@ -240,7 +240,7 @@
             submitted.not_run = failure.not_run
 
     def cancel(self, number: int) -> bool:
-        """Ask for a job's cancellation; return whether that was taken in."""
+        """Ask for a job's cancellation; return whether that was accepted."""
         return self.runner.run(self._cancel(self.submitted[number].spec.job_id))
 
     async def _cancel(self, job_id: str) -> bool:
@@ -251,7 +251,7 @@
         return True
 
     def put_half_moved(self, number: int) -> None:
-        """Leave a waiting job as a mover does that dies before its last write."""
+        """Leave a waiting job as if its mover died before the last write."""
         self.runner.run(self._put_half_moved(self.submitted[number].spec.job_id))
 
     async def _put_half_moved(self, job_id: str) -> None:
@@ -289,7 +289,7 @@
         self._start_placer(name)
 
     def leave(self, name: str, told: bool, listed: bool) -> None:
-        """Let a worker leave, as the VM list or the worker itself says."""
+        """Make a worker leave, reported by the VM list, the worker itself or both."""
         self.left.setdefault(name, self.runner.now)
         if told:
             self.runner.run(self._tell_leaving(name))
@@ -300,7 +300,7 @@
         self.workers_by_name[name].leave()
 
     def lose_tasks(self, name: str) -> None:
-        """Let a worker stop all of its tasks by itself, as when its engine dies."""
+        """Make a worker stop all its tasks, as when its engine dies."""
         self.runner.run(self._lose_tasks(name))
 
     async def _lose_tasks(self, name: str) -> None:
@@ -309,7 +309,7 @@
             worker.stop(worker.epoch, task.task_id)
 
     def kill_worker(self, name: str) -> None:
-        """Let a worker die; it may come back, and then holds nothing."""
+        """Make a worker die; after a restart it holds no tasks."""
         self.lose_tasks(name)
         self.workers_by_name[name].faults.down = True
 
@@ -340,7 +340,7 @@
         return decode_job(entry.value) if entry else None
 
     def list_tasks(self) -> list[TaskReport]:
-        """Return what the workers report of their tasks."""
+        """Return the tasks that the workers report."""
         return self.runner.run(self._list_tasks())
 
     async def _list_tasks(self) -> list[TaskReport]:
@@ -355,11 +355,11 @@
         ]
 
 
-# The oracle: a few lines a promise, over what the workers themselves wrote down.
+# The oracle: one short check for each guarantee, over the workers' own ledgers.
 
 
 def check_gangs(deployment: Deployment) -> None:
-    """Check every promise about gangs that must hold at any moment."""
+    """Check every guarantee about gangs that must hold at any moment."""
     runs = deployment.list_runs()
     now = deployment.runner.now
     for submitted in deployment.submitted:
@@ -383,7 +383,7 @@
 def check_told(
     submitted: Submitted, record: JobRecord | None, runs: Sequence[TaskRun]
 ) -> None:
-    """What is told 'not run' has not run, and what is accepted is kept."""
+    """A job reported as 'not run' has not run, and an accepted job is kept."""
     job_id = submitted.spec.job_id
     if submitted.not_run:
         assert not runs, f"{job_id} was told '{submitted.told}', not run, and ran"
@@ -394,7 +394,7 @@
 
 
 def check_whole(members: Sequence[TaskRun], accelerators: int, now: float) -> None:
-    """No part of a gang runs for longer than the bound without the rest.
+    """No gang runs in part for longer than the bound.
 
     A member that has finished its work is not missing.
     """
@@ -435,8 +435,8 @@
 def check_leaving(deployment: Deployment, runs: Sequence[TaskRun]) -> None:
     """A leaving worker gets no new task after the bound.
 
-    A placer that sleeps between its last look and its command is late by its
-    sleep, which no check of its own can prevent.
+    A placer that is paused between its last check and its command is late by that
+    pause, which no check of its own can prevent.
     """
     for name, since in deployment.left.items():
         latest = max(since, deployment.paused_until) + LEAVING_BOUND_SECONDS
@@ -445,7 +445,7 @@
 
 
 def check_settled(deployment: Deployment) -> None:
-    """With every fault gone, no accepted job is stuck."""
+    """After every fault has ended, no accepted job is stuck."""
     for submitted in deployment.submitted:
         record = deployment.read_record(submitted.spec.job_id)
         if submitted.told != "accepted":
--- a/features/doubles/network.py
+++ b/features/doubles/network.py
@@ -1,8 +1,8 @@
-"""What lies between one process and the platform, with its faults.
+"""The connections between one process and the platform, with their faults.
 
-Each process has its own links, so that one process can be cut off from a worker
-that another one reaches. A call runs outside of its caller: a caller that is
-stopped or killed undoes nothing that it has sent, and reads its answer late.
+Each process has its own links, so that one process can be cut off from a worker that
+another one reaches. A call runs in its own task: stopping or killing the caller does
+not undo what it has sent, and a paused caller reads the answer late.
 """
 
 import asyncio
@@ -26,13 +26,13 @@
 
 STORE_TIMEOUT_SECONDS = 2.0
 CONTROL_TIMEOUT_SECONDS = 1.0
-# A connection to a target that breaks is noticed at once, not at the deadline.
+# A broken connection to a target is detected at once, not at the deadline.
 CUT_SECONDS = 0.1
 T = TypeVar("T")
 
 
 class Fate(Enum):
-    """What becomes of one call."""
+    """The outcome of one call."""
 
     DONE = "done"
     NEVER_SENT = "never sent"
@@ -44,12 +44,12 @@
 
 @dataclass(slots=True)
 class Link:
-    """One process's way to the platform.
+    """One process's connection to the platform.
 
     Attributes:
-        fates: What becomes of its next calls; done when there are none.
-        cut: Whether nothing goes through.
-        cut_workers: Workers that it can't reach.
+        fates: Outcomes of its next calls; DONE when there are none.
+        cut: Whether the store is unreachable.
+        cut_workers: Workers that are unreachable.
         late_seconds: How long after the timeout a late call takes effect.
     """
 
@@ -63,18 +63,18 @@
 
 
 async def run_outside(work: Callable[[], Awaitable[T]]) -> T:
-    """Run on the platform's side; it goes on whatever becomes of the caller."""
+    """Run in a task that continues even if the caller ends."""
     loop = asyncio.get_running_loop()
 
     async def call() -> T:
         return await work()
 
     task = loop.create_task(call(), context=contextvars.Context())
-    task.add_done_callback(_look_at_failure)
+    task.add_done_callback(_retrieve_failure)
     return await asyncio.shield(task)
 
 
-def _look_at_failure(task: "asyncio.Task[Any]") -> None:
+def _retrieve_failure(task: "asyncio.Task[Any]") -> None:
     if not task.cancelled():
         task.exception()
 
@@ -87,22 +87,22 @@
     lost: ErrorKind,
     unsent: ErrorKind,
 ) -> T:
-    """Make one call of a given fate.
+    """Make one call with a given outcome.
 
     Raises:
-        Failure: `lost` when its answer did not come, `unsent` when it was not sent.
+        Failure: `lost` when the answer was lost, `unsent` when it was not sent.
     """
     if fate is Fate.NEVER_SENT:
         raise Failure(unsent, "the connection was refused")
     if fate is Fate.LATE:
 
-        async def come_late() -> None:
+        async def run_late() -> None:
             await asyncio.sleep(timeout + late_seconds)
             await work()
 
         loop = asyncio.get_running_loop()
-        late = loop.create_task(come_late(), context=contextvars.Context())
-        late.add_done_callback(_look_at_failure)
+        late = loop.create_task(run_late(), context=contextvars.Context())
+        late.add_done_callback(_retrieve_failure)
     if fate in (Fate.LATE, Fate.LOST_BEFORE):
         await asyncio.sleep(timeout)
         raise Failure(lost, "no answer came")
@@ -111,7 +111,7 @@
         await asyncio.sleep(timeout)
         raise Failure(lost, "no answer came")
     if fate is Fate.TWICE:
-        # The second one fails or repeats; its answer has nobody to read it.
+        # The second call fails or repeats the first; its answer is not read.
         await _run_again(work)
     return answer
 
@@ -250,7 +250,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reached:
-    """One sending that reached a target, and the caller's call that it was for."""
+    """One request that reached a target, and the caller's call that it belongs to."""
 
     call: object
     target: str
@@ -284,7 +284,7 @@
         fate = self._link.take_fate()
         if target in self._link.cut_workers:
             fate = Fate.NEVER_SENT
-        # A connection carries a request once; only its answer can be lost.
+        # A connection delivers a request once; only its answer can be lost.
         if fate is Fate.TWICE:
             fate = Fate.DONE
         return await pass_link(
--- a/features/doubles/slots.py
+++ b/features/doubles/slots.py
@@ -1,4 +1,4 @@
-"""One slot, and callers who want it, on a paused clock."""
+"""One slot, and the callers that compete for it, on a paused clock."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class OneSlot:
-    """A request holds the slot, another one waits for it."""
+    """A request holds the slot while another one waits for it."""
 
     def __init__(self) -> None:
         self._runner = PausedRunner()
--- a/features/settings/doubles.py
+++ b/features/settings/doubles.py
@@ -1,4 +1,4 @@
-"""What the steps on settings share: a paused clock, examples, a store with them."""
+"""Shared helpers of the settings steps: a paused clock, examples, a loaded store."""
 
 import asyncio
 import json
--- a/features/settings/pages.feature
+++ b/features/settings/pages.feature
@@ -1,7 +1,7 @@
 Feature: The pages for operators and callers say what the code does
 
-  A page that has parted from the code costs its reader a refused change at best,
-  and a second run of work at worst.
+  A page that differs from the code costs its reader a refused change at best, and a
+  second run of work at worst.
 
   Scenario: The page of errors is the table of errors
     Then docs/errors.md is as the table of errors makes it
--- a/features/settings/relayworld.py
+++ b/features/settings/relayworld.py
@@ -1,4 +1,4 @@
-"""Several relaying processes on one paused clock, and the faults between them."""
+"""Several relaying processes on one paused clock, and faults between them."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Process:
-    """One relaying process, with a check that it never goes back."""
+    """One relaying process, with a check that no revision decreases."""
 
     def __init__(
         self, world: "RelayWorld", number: int, seeds: tuple[str, ...]
@@ -35,9 +35,9 @@
         )
         self.follower.add_handler(self.check)
         self.highest: dict[str, int] = {}
-        place = Place(self.name, self.domain, seeds)
+        identity = Place(self.name, self.domain, seeds)
         self.relay: Relay = make_relay(
-            self.follower, self, world.list_records, place, random.Random(number)
+            self.follower, self, world.list_records, identity, random.Random(number)
         )
         self.cut = False
         self.task = asyncio.create_task(self.relay.run())
@@ -49,7 +49,7 @@
             self.highest[path] = revision
 
     async def ask(self, peer: str, body: Body, timeout: float, epoch: int = 0) -> Body:
-        """Stand for `protocol.peers.Peers`."""
+        """Implements `protocol.peers.Peers`."""
         try:
             async with asyncio.timeout(timeout):
                 return await self.world.carry(self, peer, body)
@@ -62,7 +62,7 @@
 
 
 class RelayWorld:
-    """The store, the processes, and what is wrong between them."""
+    """The store, the processes, and the faults between them."""
 
     def __init__(self, seed: int = 1) -> None:
         self.store = MemoryStore()
--- a/features/settings/steward.feature
+++ b/features/settings/steward.feature
@@ -3,9 +3,9 @@
   Background:
     Given a steward of the domeworks example
 
-  Scenario Outline: Whoever lacks the right is refused, and nothing changes
-    Somebody tries with no token, a wrong one, or that of a team. A team could
-    otherwise raise its own quota.
+  Scenario Outline: A caller without the right is refused, and nothing changes
+    A caller sends no token, a wrong one, or that of a team. A team could otherwise
+    raise its own quota.
     Given the steward is asked with the token <token>
     When the queue limit is put as 5 on revision 1
     Then the steward answers <status> <error>
@@ -17,15 +17,15 @@
       | wrong                          | 401    | unauthenticated |
       | demo-domeworks-dome-operations | 403    | forbidden       |
 
-  Scenario: A change is stored with who made it and why
+  Scenario: A change is stored with its actor
     Given the steward is asked with the token demo-domeworks-operator
     When the queue limit is put as 5 on revision 1
     Then the steward answers 200
     And the history of policy begins with revision 2 by operator-demo
 
-  Scenario: A change on an old revision shows both sides
-    Two operators edit one path. The slower one must see what the other has
-    stored, and the own change, to bring both together.
+  Scenario: A change on an old revision shows both values
+    Two operators edit one path. The slower one needs to see both the stored value and
+    the refused one, to merge them.
     Given the steward is asked with the token demo-domeworks-operator
     When the queue limit is put as 5 on revision 1
     And the queue limit is put as 6 on revision 1
@@ -33,24 +33,24 @@
     And the steward's answer shows a queue limit of 5 and of 6
 
   Scenario: A faulty change is refused with each fault
-    An operator mistypes two things at once and sees both.
+    An operator makes two mistakes at once and sees both.
     Given the steward is asked with the token demo-domeworks-operator
     When policy is put with a share of 7 and an unknown key
     Then the steward answers 422 invalid_settings
     And the steward shows faults at policy.patient_share and policy.colour
     And the stored policy is at revision 1
 
-  Scenario: A team is removed, and its path goes on counting
-    Were the revision to begin again, a process that has seen the team would take its
-    return for something old.
+  Scenario: A team is removed, and the revisions of its path continue
+    If the revision began again, a process that has seen the team would reject it as old
+    once the team is added again.
     Given the steward is asked with the token demo-domeworks-operator
     When the steward removes teams/archive-captions on revision 1
     Then the steward answers 200
     And the steward shows teams/archive-captions at revision 2 as null
 
   Scenario: The store is down
-    What is in force can still be read, and is marked as perhaps old. A change is
-    refused as not made.
+    The settings in force can still be read, and are marked as possibly stale. A change
+    is refused as not made.
     Given the steward is asked with the token demo-domeworks-operator
     And the steward's store is down
     When the steward is asked for policy
@@ -60,16 +60,16 @@
     Then the steward answers 503 store_unavailable
 
   Scenario: A fleet shrinks while guarantees rise
-    Each change is checked against the other path as it was. No swap spans both,
-    so the one who looks last is told that they disagree.
+    Each change is checked against the other path as read before. No swap covers both
+    paths, so the later writer is warned that they disagree.
     Given the steward is asked with the token demo-domeworks-operator
     When guarantees rise in the store while the steward stores a fleet without a rack
     Then the steward answers 200
     And the steward warns about guarantees.guarantees
 
   Scenario: The status shows which process lags
-    A process that has lost its way to the store goes on with old settings. An
-    operator sees its name, and the path.
+    A process that can't reach the store keeps old settings. The status names the
+    process and the path.
     Given the steward is asked with the token demo-domeworks-operator
     And a process named vm-2-entry that has applied policy at revision 1
     And a process named vm-3-entry that does not answer
@@ -78,8 +78,7 @@
     Then the status names vm-2-entry as behind at policy and vm-3-entry as silent
 
   Scenario: The status in an outage of the store
-    Operators look at the status when something is wrong, and the store may be what
-    is wrong.
+    Operators check the status when something fails, and that may be the store.
     Given the steward is asked with the token demo-domeworks-operator
     And a process named vm-2-entry that has applied policy at revision 0
     And the steward's store is down
@@ -94,12 +93,12 @@
     Then the steward answers 404 not_found
 
   Scenario: No answer, log or audit entry shows a token
-    Tokens travel in a header only. One that came to stand in a log or an answer
-    would be readable for everyone who can read those.
+    Tokens are sent in a header only. A token in a log or an answer could be read by
+    everyone with access to it.
     Then no token shows in any answer, log line or stored value of the steward
 
-  Scenario: Whatever is sent, the steward answers with an error of the table
-    A script with a fault sends anything. The steward may not fail over it, and
-    its operator wants to read what was wrong.
+  Scenario: Any malformed call is answered with an error of the table
+    A faulty script may send anything. The steward must not fail on it, and the answer
+    must say what was wrong.
     Given the steward is asked with the token demo-domeworks-operator
     Then each malformed call to the steward is answered by an error of the table
--- a/features/settings/stewardworld.py
+++ b/features/settings/stewardworld.py
@@ -1,4 +1,4 @@
-"""A steward on loopback in a thread of its own, with the store in memory."""
+"""A steward on loopback in its own thread, with the store in memory."""
 
 import asyncio
 import threading
@@ -21,7 +21,7 @@
 
 
 class StewardWorld:
-    """Runs a steward, and asks it, until `close`."""
+    """Runs a steward and sends it requests, until `close`."""
 
     def __init__(self, store: MemoryStore | None = None) -> None:
         self.loop = asyncio.new_event_loop()
--- a/features/steps/coordination_steps.py
+++ b/features/steps/coordination_steps.py
@@ -1,4 +1,4 @@
-"""Coordination code on a paused clock, over doubles of a few lines."""
+"""Hedged requests on a paused clock, over small doubles."""
 
 import asyncio
 import itertools
@@ -25,7 +25,7 @@
 
 
 class CountingTargets:
-    """Answers after a time of its own for each sending, and counts them."""
+    """Answers each request after a chosen time, and counts the requests."""
 
     def __init__(self, choose_seconds: Callable[[int], float]) -> None:
         self.sent = 0
@@ -73,7 +73,7 @@
 
 
 def run_paused(work: Any) -> None:
-    """Run to the end on a loop whose time passes only when everybody waits."""
+    """Run to the end on a loop whose time passes only when every task waits."""
     loop = looptime.new_event_loop()
     try:
         loop.run_until_complete(work)
@@ -101,9 +101,9 @@
     send_requests(context, count, lambda sent: 0.001 if sent % 3 else 0.0002)
 
 
-@then("the targets were sent at most {most:d} requests in all")
-def check_most(context: Any, most: int) -> None:
-    assert context.targets.sent <= most, context.targets.sent
+@then("the targets were sent at most {limit:d} requests in all")
+def check_most(context: Any, limit: int) -> None:
+    assert context.targets.sent <= limit, context.targets.sent
 
 
 @then("the targets were sent exactly {count:d} requests")
--- a/features/steps/follower_steps.py
+++ b/features/steps/follower_steps.py
@@ -79,7 +79,7 @@
     world = context.world
 
     async def work() -> None:
-        # The change is made just before the outage, and its news is cut off.
+        # The change is made just before the outage, which cuts off its notification.
         await world.set_limit(n)
         world.store.faults.down = True
         await asyncio.sleep(60)
--- a/features/steps/jobbook_steps.py
+++ b/features/steps/jobbook_steps.py
@@ -22,7 +22,7 @@
 
 
 class SlowAnswers(MemoryStore):
-    """Does at once what it is asked, and answers later."""
+    """Carries out calls at once, and answers later."""
 
     slow = False
 
@@ -57,7 +57,7 @@
 
 
 async def cancel(store: MemoryStore) -> None:
-    """Write a cancellation over whatever stands, as an entry does."""
+    """Write a cancellation over the current record, as an entry does."""
     entry = await MemoryStore.get(store, make_job_key(JOB))
     assert entry is not None
     record = msgspec.json.decode(entry.value, type=JobRecord)
@@ -91,7 +91,7 @@
     following.cancel()
 
 
-@when("its cancellation is heard before the answer to the write of the start")
+@when("the watch delivers its cancellation before the answer to the write of the start")
 def race_write(context: Any) -> None:
     async def write(job_table: JobTable) -> bool:
         base = job_table.find(JOB)
@@ -101,7 +101,7 @@
     run_paused(run_race(context, write))
 
 
-@when("its cancellation is heard before the answer to a read of it")
+@when("the watch delivers its cancellation before the answer to a read of it")
 def race_read(context: Any) -> None:
     run_paused(run_race(context, lambda job_table: job_table.refresh(JOB)))
 
--- a/features/steps/joining_steps.py
+++ b/features/steps/joining_steps.py
@@ -1,6 +1,6 @@
 """Entries that share the slots of one owner's cells, on a paused clock.
 
-The owner and the entries are the real ones; the workers, the store and the way
+The owner and the entries are the real ones; the workers, the store and the connections
 between processes are doubles.
 """
 
@@ -46,10 +46,10 @@
 DEADLINE_SECONDS = 5.8
 LEASE_SECONDS = 6.0
 ANSWER_SECONDS = 0.005
-STAND_SECONDS = 1.0
+WARM_UP_SECONDS = 1.0
 
 
-class WellWorkers:
+class IdleWorkers:
     """Workers without any task."""
 
     async def report(self, worker: str, cell: str, epoch: int) -> WorkerReport:
@@ -67,7 +67,7 @@
 
 
 class SlotTargets:
-    """Workers that run as many requests as they have slots and refuse the rest."""
+    """Workers that run one request in each slot and refuse further ones."""
 
     def __init__(self, slots: dict[str, int]) -> None:
         self._slots = slots
@@ -96,7 +96,7 @@
 
 @dataclass
 class OwnerPeers:
-    """The way to one placer that owns every cell."""
+    """The connection to one placer that owns every cell."""
 
     keepers: list[CellKeeper] = field(default_factory=list)
 
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True)
 class EntryPart:
-    """What of an entry takes part in the sharing."""
+    """The parts of an entry that take part in the sharing."""
 
     name: str
     dispatcher: Dispatcher
@@ -119,7 +119,7 @@
 
 @dataclass
 class Fleet:
-    """One owner, its entries, and what became of the requests of each entry."""
+    """One owner, its entries, and the outcomes of the requests of each entry."""
 
     group: asyncio.TaskGroup
     settings: Settings
@@ -145,7 +145,7 @@
         directory = Directory(self.store)
         exchange = Exchange("placer", self.peers, directory, lambda: self.settings)
         for cell in self.settings.fleet.cells:
-            workers = cast(Workers, WellWorkers())
+            workers = cast(Workers, IdleWorkers())
             command = Command(
                 workers, cell.name, 1, LEASE_SECONDS, lambda: True, lambda: False
             )
@@ -229,7 +229,7 @@
 
 
 def run_fleet(context: Any, work: Callable[[Fleet], Coroutine[Any, Any, None]]) -> None:
-    """Run some work on a new fleet; its figures are left in the context."""
+    """Run some work on a new fleet; its results are left in the context."""
     settings = read_example_settings("domeworks")
 
     async def run() -> None:
@@ -241,7 +241,7 @@
             for service in fleet.services:
                 service.cancel()
 
-    # Entries and owners spread their rounds by chance; the same each time here.
+    # Entries and owners randomise their intervals; the seed makes runs repeatable.
     chance = random.getstate()
     random.seed(SEED)
     run_paused(run())
@@ -278,7 +278,7 @@
             fleet.start_callers(name, context.busy_callers)
         await asyncio.sleep(context.shared_seconds)
         for refused in fleet.refused.values():
-            # What the owner refused at its own start is not looked at here.
+            # Refusals during the owner's own start are not checked here.
             refused.clear()
         await fleet.register(context.asked, "entry")
         await fleet.start_entry(context.asked)
@@ -301,7 +301,7 @@
         for name in context.old:
             await fleet.register(name, "entry")
         await fleet.start_entry(context.asked)
-        await asyncio.sleep(STAND_SECONDS)
+        await asyncio.sleep(WARM_UP_SECONDS)
         fleet.start_callers(context.asked, callers)
         await asyncio.sleep(seconds)
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -44,7 +44,7 @@
 def check_watches(context: Any, count: int) -> None:
     world = context.world
     assert 1 <= run(context, world.count_watchers()) <= count
-    # A watch that ends and is opened again counts as another call.
+    # A watch that is opened again counts as another call.
     before = world.store.calls.total()
     run(context, asyncio.sleep(60))
     assert world.store.calls.total() - before <= 3 * count, world.store.calls
@@ -87,12 +87,12 @@
     run(context, find_quiet(context.world)).cut = True
 
 
-@when("one relaying process sleeps through a change and the store goes down")
-def sleep_through(context: Any) -> None:
+@when("one relaying process is paused during a change and the store goes down")
+def pause_through_change(context: Any) -> None:
     world = context.world
 
     async def work() -> None:
-        # It is held still from now on: neither its tasks nor its picture move.
+        # From now on it is paused: neither its tasks nor its settings change.
         context.old = await find_quiet(world)
         await context.old.end()
         context.old.follower.apply = lambda values: False
@@ -104,7 +104,7 @@
     run(context, work())
 
 
-@when("a relaying process starts that knows the old one and two others")
+@when("a relaying process starts with the old one and two others as seeds")
 def start_among(context: Any) -> None:
     others = [name for name in context.world.processes if name != context.old.name]
     seeds = (context.old.name, *others[:2])
@@ -115,7 +115,7 @@
     run(context, start())
 
 
-@when("a relaying process starts that reaches only the old one")
+@when("a relaying process starts that can reach only the old one")
 def start_with_old(context: Any) -> None:
     async def start() -> None:
         context.started = context.world.start(100, (context.old.name, "gone-1"))
@@ -129,8 +129,8 @@
     assert not context.started.follower.is_ready
 
 
-@when("the store of the relaying processes comes back")
-def bring_back(context: Any) -> None:
+@when("the store of the relaying processes recovers")
+def recover_store(context: Any) -> None:
     context.world.store.faults.down = False
 
 
@@ -194,7 +194,7 @@
         process.cut = False
 
 
-async def live_through(steps: list[tuple[str, Any]]) -> None:
+async def run_steps(steps: list[tuple[str, Any]]) -> None:
     world = RelayWorld()
     await world.change()
     for number in range(6):
@@ -214,6 +214,6 @@
     @fuzz_settings(derandomize=True, max_examples=120, deadline=None, database=None)
     @for_all(STEPS)
     def check(steps: list[tuple[str, Any]]) -> None:
-        run_paused(live_through(steps))
+        run_paused(run_steps(steps))
 
     check()
--- a/features/steps/settingstore_steps.py
+++ b/features/steps/settingstore_steps.py
@@ -37,11 +37,11 @@
 
 
 class Dies(Exception):
-    """Stands for the end of the process in the middle of a change."""
+    """Simulates the death of the process in the middle of a change."""
 
 
 class DyingStore(MemoryStore):
-    """Ends its caller when it comes to write the value of a setting."""
+    """Ends its caller before it writes the value of a setting."""
 
     dying = False
 
@@ -54,7 +54,7 @@
 
 
 class OutageStore(MemoryStore):
-    """Goes down with the next write, which it makes."""
+    """Carries out the next write, loses its answer and goes down."""
 
     ending = False
 
@@ -134,7 +134,7 @@
 
 @when("two operators change policy from revision 1 at the same moment")
 def race_policy(context: Any) -> None:
-    # A call takes time, so that both have read before either writes.
+    # Calls are slow, so that both read before either writes.
     context.store.faults.slow_seconds = 0.01
 
     async def race() -> Any:
@@ -146,7 +146,7 @@
     context.answers = run_paused(race())
 
 
-@then("one settings change stands and the other is a conflict that shows both")
+@then("one settings change is stored and the other is a conflict that shows both")
 def one_stands(context: Any) -> None:
     made = [each for each in context.answers if isinstance(each, StoredSetting)]
     lost = [each for each in context.answers if isinstance(each, Failure)]
@@ -166,8 +166,8 @@
 @when("two operators each raise a guarantee that fits alone at the same moment")
 def race_guarantees(context: Any) -> None:
     before = read_example_settings("domeworks")
-    # 128 accelerators are left without one failure domain and 82 are promised:
-    # room for four more workers once, and not for two times four.
+    # Without one failure domain 128 accelerators remain and 82 are guaranteed: room for
+    # four more workers once, but not twice.
     context.raises = [raise_guarantee(before.guarantees, i, 4) for i in (0, 2)]
     for change in context.raises:
         assert check_change(before, "guarantees", encode_text(change)) == ()
@@ -186,7 +186,7 @@
     context.answers = run_paused(race())
 
 
-@then("only one raise stands and the stored guarantees fit the fleet")
+@then("only one raise is stored and the stored guarantees fit the fleet")
 def one_raise(context: Any) -> None:
     lost = [each for each in context.answers if isinstance(each, Failure)]
     assert [each.kind for each in lost] == [ErrorKind.CONFLICT]
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -75,7 +75,7 @@
 
 
 class CrossingStore(MemoryStore):
-    """Lets guarantees rise just before a change of the fleet is written."""
+    """Raises guarantees just before a change of the fleet is written."""
 
     rising = ""
 
@@ -96,8 +96,8 @@
     rising = replace(before.guarantees, guarantees=tuple(raised))
     store.__class__ = CrossingStore
     store.rising = encode_text(rising)
-    # Four of the eight workers of one rack go: the guarantees of before still
-    # fit, and so did the raised ones in the whole fleet.
+    # Four of the eight workers of one rack are removed: the former guarantees still
+    # fit, and the raised ones fitted the whole fleet.
     osborne = before.fleet.workers_of(before.fleet.cells[0])
     world.put("workers/osborne", 1, msgspec.to_builtins(osborne[4:]))
 
--- a/src/primrosestile/coordination/relay.py
+++ b/src/primrosestile/coordination/relay.py
@@ -78,13 +78,13 @@
         follower: SettingsFollower,
         peers: Peers,
         list_records: Callable[[], Sequence[ProcessRecord]],
-        place: Place,
+        identity: Place,
         chance: random.Random,
     ) -> None:
         self._follower = follower
         self._peers = peers
         self._list_records = list_records
-        self._place = place
+        self._identity = identity
         self._chance = chance
         self._answered_at = 0.0
         self._sending = asyncio.Semaphore(SEND_AT_ONCE)
@@ -119,10 +119,12 @@
         if read_clock() - self._answered_at > ISOLATED_SECONDS:
             return True
         records = self._list_records()
-        if not any(record.name == self._place.name for record in records):
+        if not any(record.name == self._identity.name for record in records):
             # Watchers don't send changes to a process that isn't listed.
             return True
-        return self._place.name in choose_watchers(records, self._place.failure_domain)
+        return self._identity.name in choose_watchers(
+            records, self._identity.failure_domain
+        )
 
     async def _take_roles(self) -> None:
         while True:
@@ -144,11 +146,11 @@
         The highest revision of each path counts. With one peer alone a process could
         revert to settings older than those it had before its restart.
         """
-        needed = min(STARTING_PEERS, len(self._place.seeds))
+        needed = min(STARTING_PEERS, len(self._identity.seeds))
         answered: set[str] = set()
         await asyncio.sleep(STORE_WAIT_SECONDS)
         while needed and not self._follower.is_ready:
-            for seed in self._place.seeds:
+            for seed in self._identity.seeds:
                 if await self._take_all(seed):
                     answered.add(seed)
             if len(answered) >= needed and self._follower.values:
@@ -209,7 +211,7 @@
         local_records = [
             record
             for record in self._list_others()
-            if record.failure_domain == self._place.failure_domain
+            if record.failure_domain == self._identity.failure_domain
         ]
         async with asyncio.TaskGroup() as group:
             for record in local_records:
@@ -224,7 +226,7 @@
             _log.info("settings_not_passed_on", peer=peer, kind=failure.kind.value)
 
     def _list_others(self) -> list[ProcessRecord]:
-        name = self._place.name
+        name = self._identity.name
         return [record for record in self._list_records() if record.name != name]
 
     def _find_newer(self, revisions: Mapping[str, int]) -> list[str]:
@@ -255,7 +257,7 @@
     follower: SettingsFollower,
     peers: Peers,
     list_records: Callable[[], Sequence[ProcessRecord]],
-    place: Place,
+    identity: Place,
     chance: random.Random | None = None,
 ) -> Relay:
     """Return the relay of one process; run its `run` as a task.
@@ -264,8 +266,8 @@
         follower: The settings in force in this process.
         peers: Connections to the other processes.
         list_records: Returns the live processes, this one included.
-        place: The identity of this process.
+        identity: Its name, failure domain and seeds.
         chance: Chooses peers and pauses.
     """
-    chance = chance or random.Random(place.name)
-    return Relay(follower, peers, list_records, place, chance)
+    chance = chance or random.Random(identity.name)
+    return Relay(follower, peers, list_records, identity, chance)
