--- a/src/primrosestile/coordination/placing.py
+++ b/src/primrosestile/coordination/placing.py
@@ -35,8 +35,9 @@
 
 # The longest time between two passes, in case a wake-up was missed.
 RECHECK_SECONDS = 1.0
-# Jobs that one pass decides on. In the larger cells a decision takes up to 2 ms, so a
-# pass blocks the loop, and the renewals on it, for at most half a second.
+# Jobs within quota that one pass decides on. In the larger cells a decision takes up to
+# 2 ms unless it repeats that of an equivalent job, so a pass blocks the loop, and the
+# renewals on it, for at most half a second.
 PASS_LIMIT = 256
 # Moves begun in one pass. Each takes three writes, and the queue of a full cell must
 # not use up the store's several hundred writes a second.
