--- a/features/placement/promises.feature
+++ b/features/placement/promises.feature
@@ -64,3 +64,18 @@
     When the tiny cell is asked for "north 2 cell, non-preemptible"
     When worker 1 of the tiny cell returns
     Then every guarantee of the tiny cell has an allocation
+
+  Scenario: A second job of one guaranteed shape does not block another guarantee
+    Four in a rack, four anywhere and three on a worker are guaranteed. Two jobs of
+    four anywhere and one of three on a worker ran; the first and the last ended.
+    The other job left no room for both other guarantees, and the owed four in a
+    rack had to wait.
+    Given a tiny cell with racks of 2 and 2 workers with 3 accelerators
+    Given the tiny cell guarantees "south 4 rack, south 4 cell, south 3 worker"
+    When the tiny cell is asked for "south 4 cell, non-preemptible"
+    When the tiny cell is asked for "south 3 worker, non-preemptible"
+    When the tiny cell is asked for "south 4 cell, non-preemptible"
+    When job 2 of the tiny cell ends
+    When job 1 of the tiny cell ends
+    When the tiny cell is asked for "south 4 rack, non-preemptible"
+    Then the last request of the tiny cell is placed or reclaimed at once
--- a/features/steps/placement_tiny_steps.py
+++ b/features/steps/placement_tiny_steps.py
@@ -62,6 +62,11 @@
         context.tiny.begin_reclaim(holding, decision.victims)
 
 
+@when("job {number:d} of the tiny cell ends")
+def end_tiny_job(context: Any, number: int) -> None:
+    context.tiny.release(f"j{number}")
+
+
 @when("worker {worker:d} of the tiny cell is lost")
 def lose_tiny_worker(context: Any, worker: int) -> None:
     context.tiny.set_usable(context.tiny_workers[worker].name, False)
