--- a/features/model/guards.feature
+++ b/features/model/guards.feature
@@ -1,15 +1,15 @@
-Feature: No guard of the core protocol can be taken away
+Feature: No guard of the core protocol can be removed
 
-  Somebody removes a check that seems to repeat another one. Nothing fails for
-  months, until a pause falls into the gap and a surcharge run is billed twice.
-  Here each guard is taken away by itself, and the promise that breaks is named.
+  A change removes a check that seems redundant. Nothing fails for months, until a
+  process pauses where the check was and a surcharge run is billed twice. Here each
+  guard is switched off alone, and the property that breaks is named.
 
-  Scenario Outline: Without one guard a promise breaks
-    When the <model> model is swept without <guard>
-    Then a run breaks the promise: <promise>
+  Scenario Outline: Without one guard a property breaks
+    When the <model> model is explored without <guard>
+    Then a run breaks the property: <property>
 
     Examples:
-      | guard                             | model      | promise                                            |
+      | guard                             | model      | property                                           |
       | EPOCH_CHECKED_BY_WORKER           | gang start | a worker obeys no owner older than one it has seen |
       | FENCE_BEFORE_ACTING               | gang start | a job that may not run twice runs once             |
       | ALL_HELD_BEFORE_START             | gang start | no member runs before all are held                 |
@@ -27,7 +27,7 @@
       | MOVE_RECORDED_FIRST               | moving     | a moved job is started once                        |
       | MOVE_NAMES_NEW_ID                 | moving     | a moved job is started once                        |
       | MOVED_JOB_CREATED_ONCE            | moving     | a moved job is started once                        |
-      | CANCEL_WAITS_FOR_MOVE             | moving     | a cancellation that was asked for is kept          |
+      | CANCEL_WAITS_FOR_MOVE             | moving     | a requested cancellation is kept                   |
       | CLAIM_BEFORE_DISPATCH             | claims     | a non-idempotent request runs at most once         |
       | CLAIM_COMPARED                    | claims     | a non-idempotent request runs at most once         |
       | DISPATCH_RECORDED_BEFORE_SEND     | claims     | a non-idempotent request runs at most once         |
@@ -38,13 +38,13 @@
       | CLAIM_OUTLIVES_RETRIES            | claims     | a non-idempotent request runs at most once         |
       | JOB_ID_CLAIMED                    | submission | one submission makes one job                       |
       | LOST_WRITE_NOT_DISPROVED          | submission | 'not run' is true                                  |
-      | ANSWER_ID_CHECKED                 | answers    | a caller gets the own answer                       |
+      | ANSWER_ID_CHECKED                 | answers    | a caller gets its own answer                       |
       | ANSWER_LENGTH_CHECKED             | answers    | a caller gets the whole answer                     |
-      | CHANGE_COMPARED                   | settings   | no change is undone by one that did not see it     |
-      | HIGHER_REVISION_ONLY              | settings   | a process never goes back                          |
-      | LOST_CHANGE_REREAD                | settings   | an operator is told the truth                      |
-      | LOST_WRITE_NOT_DISPROVED          | settings   | an operator is told the truth                      |
-      | REMOVAL_KEEPS_REVISION            | settings   | a process never goes back                          |
+      | CHANGE_COMPARED                   | settings   | no change overwrites one that its author had not seen |
+      | HIGHER_REVISION_ONLY              | settings   | a process never applies an older change            |
+      | LOST_CHANGE_REREAD                | settings   | an operator is told the true outcome               |
+      | LOST_WRITE_NOT_DISPROVED          | settings   | an operator is told the true outcome               |
+      | REMOVAL_KEEPS_REVISION            | settings   | a process never applies an older change            |
       | WATCH_FROM_LISTED_REVISION        | settings   | an accepted change comes into force                |
       | START_FROM_HIGHEST                | restart    | a revision in force everywhere stays in force      |
       | READINESS_OFF_FIRST               | drain      | a graceful end cuts off no request                 |
--- a/features/model/promises.feature
+++ b/features/model/promises.feature
@@ -1,13 +1,13 @@
-Feature: The core protocol keeps its promises in every order of events
+Feature: The core protocol keeps its properties in every order of events
 
-  An owner pauses, a store answer is lost, a worker dies and a caller tries again,
-  all within the same second. No test of the running code meets every order of
-  these, so small models of the protocol are swept whole.
+  An owner pauses, a store answer is lost, a worker dies and a caller retries, all
+  within the same second. No test of the running code covers every order of these,
+  so small models of the protocol are explored exhaustively.
 
-  Scenario Outline: Every state of one model keeps its promises
-    When the <model> model is swept with every guard in force
-    Then the sweep is complete and no promise is broken
-    And everything that the model should be able to show was seen
+  Scenario Outline: Every state of one model keeps its properties
+    When the <model> model is explored with every guard on
+    Then the exploration is complete and no property is broken
+    And every witness of the model was reached
 
     Examples:
       | model       |
@@ -24,5 +24,5 @@
       | fleet task  |
       | fleet lease |
 
-  Scenario: Every model is swept, and every guard belongs to a model
+  Scenario: Every model is explored, and every guard belongs to a model
     Then the models and guards listed in this folder are all there are
--- a/features/steps/model_steps.py
+++ b/features/steps/model_steps.py
@@ -9,31 +9,31 @@
 FOLDER = Path(__file__).resolve().parent.parent / "model"
 
 
-@when("the {model} model is swept with every guard in force")
-def sweep_whole(context: Any, model: str) -> None:
+@when("the {model} model is explored with every guard on")
+def step_explore_whole(context: Any, model: str) -> None:
     context.found = explore_whole(MODELS[model])
 
 
-@when("the {model} model is swept without {guard}")
-def sweep_without(context: Any, model: str, guard: str) -> None:
+@when("the {model} model is explored without {guard}")
+def step_explore_without(context: Any, model: str, guard: str) -> None:
     assert Guard[guard] in MODELS[model].guards
     context.found = explore_without(MODELS[model], Guard[guard])
 
 
-@then("the sweep is complete and no promise is broken")
+@then("the exploration is complete and no property is broken")
 def check_holds(context: Any) -> None:
     assert context.found.complete
     assert not context.found.broken, context.found.broken
 
 
-@then("everything that the model should be able to show was seen")
+@then("every witness of the model was reached")
 def check_seen(context: Any) -> None:
     assert not context.found.unseen, context.found.unseen
 
 
-@then("a run breaks the promise: {promise}")
-def check_broken(context: Any, promise: str) -> None:
-    assert promise in context.found.broken, context.found.broken
+@then("a run breaks the property: {name}")
+def check_broken(context: Any, name: str) -> None:
+    assert name in context.found.broken, context.found.broken
 
 
 @then("the models and guards listed in this folder are all there are")
@@ -42,8 +42,8 @@
     shown = {(guard.name, name) for name in MODELS for guard in MODELS[name].guards}
     assert {(row[0], row[1]) for row in listed} == shown
     assert {row[0] for row in listed} == {guard.name for guard in Guard}
-    swept = {row[0] for row in read_rows(FOLDER / "promises.feature")}
-    assert swept == set(MODELS)
+    explored = {row[0] for row in read_rows(FOLDER / "promises.feature")}
+    assert explored == set(MODELS)
 
 
 def read_rows(path: Path) -> list[list[str]]:
--- a/specification/__main__.py
+++ b/specification/__main__.py
@@ -1,4 +1,4 @@
-"""Print what the models show: `python -m specification [--trace GUARD]`."""
+"""Print the results of the models: `python -m specification [--trace GUARD]`."""
 
 import argparse
 import time
@@ -9,18 +9,18 @@
 
 
 def print_whole(model: Model) -> None:
-    """Print the sweep of one model with every rule in force."""
+    """Print the exploration of one model with every guard on."""
     begin = time.perf_counter()
     found = explore_whole(model)
     seconds = time.perf_counter() - begin
     verdict = "holds" if found.complete and not found.broken else "BROKEN"
     if found.unseen:
-        verdict = f"EMPTY, never seen: {', '.join(found.unseen)}"
+        verdict = f"EMPTY, never reached: {', '.join(found.unseen)}"
     print(f"{model.name}: {found.states} states, {seconds:.1f} s: {verdict}")
 
 
 def print_without(model: Model, guard: Guard, trace: bool) -> None:
-    """Print the shortest run that breaks a promise when one rule is off."""
+    """Print the shortest run that breaks a property with one guard off."""
     name, run = find_shortest(explore_without(model, guard))
     print(f"  without {guard.name}: {name or 'NOTHING BREAKS'}, {len(run)} steps")
     if trace:
--- a/specification/answers.py
+++ b/specification/answers.py
@@ -1,8 +1,8 @@
-"""A caller gets the whole answer to the own request, or an honest failure.
+"""A caller gets the whole answer to its own request, or a true error.
 
-One entry sends two callers' requests over one connection. It may give up on the
-first and use the connection for the second while the first answer is still on its
-way; answers may come crossed, and cut short when the target dies.
+One entry sends two callers' requests over one connection. The first may time out and
+the connection carry the second while the first answer is still in flight; answers may
+arrive swapped, or truncated when the target dies.
 
 Left out: more connections, and targets that write wrong ids.
 """
@@ -17,19 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One answer on its way.
+    """One answer in flight.
 
     Attributes:
         request: Index of the request that it answers.
-        whole: Whether all of its bytes are there.
+        whole: Whether it is complete, not truncated.
     """
 
     request: int
     whole: bool
 
 
-class Waiting(Enum):
-    """How one caller stands."""
+class CallerState(Enum):
+    """The state of one caller."""
 
     NOT_SENT = "not sent"
     SENT = "sent"
@@ -39,33 +39,36 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """The callers, and what is on the connection.
+    """The callers, and the answers in flight on the connection.
 
     Attributes:
         at_target: Whether the target still has to answer each request.
-        given: The answer that each caller got.
+        received: The answer that each caller received.
     """
 
-    callers: tuple[Waiting, Waiting] = (Waiting.NOT_SENT, Waiting.NOT_SENT)
+    callers: tuple[CallerState, CallerState] = (
+        CallerState.NOT_SENT,
+        CallerState.NOT_SENT,
+    )
     at_target: tuple[bool, bool] = (False, False)
-    travelling: frozenset[Answer] = frozenset()
-    given: tuple[Answer | None, Answer | None] = (None, None)
+    in_flight: frozenset[Answer] = frozenset()
+    received: tuple[Answer | None, Answer | None] = (None, None)
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     for index in (0, 1):
         caller = state.callers[index]
-        if caller is Waiting.NOT_SENT:
-            sent = _put_caller(state, index, Waiting.SENT)
+        if caller is CallerState.NOT_SENT:
+            sent = _put_caller(state, index, CallerState.SENT)
             sent = replace(sent, at_target=_put(state.at_target, index, True))
             yield f"request {index} is sent", sent
-        if caller is Waiting.SENT:
-            given_up = _put_caller(state, index, Waiting.FAILED)
-            yield f"the entry gives up on request {index}", given_up
+        if caller is CallerState.SENT:
+            failed = _put_caller(state, index, CallerState.FAILED)
+            yield f"the entry times out on request {index}", failed
         if state.at_target[index]:
             yield from _answer(state, index)
-    for answer in state.travelling:
+    for answer in state.in_flight:
         yield from _read(state, answer, rules)
 
 
@@ -75,34 +78,34 @@
     return tuple(changed)
 
 
-def _put_caller(state: State, index: int, waiting: Waiting) -> State:
+def _put_caller(state: State, index: int, waiting: CallerState) -> State:
     return replace(state, callers=_put(state.callers, index, waiting))
 
 
 def _answer(state: State, index: int) -> Iterator[tuple[str, State]]:
     answered = replace(state, at_target=_put(state.at_target, index, False))
     for whole in (True, False):
-        travelling = state.travelling | {Answer(index, whole)}
-        label = "answers" if whole else "answers in part"
-        following = replace(answered, travelling=travelling)
+        in_flight = state.in_flight | {Answer(index, whole)}
+        label = "answers" if whole else "sends a truncated answer to"
+        following = replace(answered, in_flight=in_flight)
         yield f"the target {label} request {index}", following
 
 
 def _read(state: State, answer: Answer, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Read one answer while some request is waited for."""
-    rest = replace(state, travelling=state.travelling - {answer})
+    """Yield how each caller that waits may read one answer."""
+    rest = replace(state, in_flight=state.in_flight - {answer})
     for index in (0, 1):
-        if state.callers[index] is not Waiting.SENT:
+        if state.callers[index] is not CallerState.SENT:
             continue
         own = answer.request == index or Guard.ANSWER_ID_CHECKED not in rules
         whole = answer.whole or Guard.ANSWER_LENGTH_CHECKED not in rules
         if own and whole:
-            given = _put_caller(rest, index, Waiting.ANSWERED)
-            given = replace(given, given=_put(state.given, index, answer))
-            yield f"caller {index} is given an answer", given
+            received = _put_caller(rest, index, CallerState.ANSWERED)
+            received = replace(received, received=_put(state.received, index, answer))
+            yield f"caller {index} receives an answer", received
         elif own:
-            failed = _put_caller(rest, index, Waiting.FAILED)
-            yield f"caller {index} is told that the answer was cut short", failed
+            failed = _put_caller(rest, index, CallerState.FAILED)
+            yield f"caller {index} is told that the answer was truncated", failed
         else:
             yield "an answer to another request is dropped", rest
 
@@ -112,19 +115,19 @@
     initial=State(),
     steps=list_steps,
     properties={
-        "a caller gets the own answer": lambda state: all(
+        "a caller gets its own answer": lambda state: all(
             answer is None or answer.request == index
-            for index, answer in enumerate(state.given)
+            for index, answer in enumerate(state.received)
         ),
         "a caller gets the whole answer": lambda state: all(
-            answer is None or answer.whole for answer in state.given
+            answer is None or answer.whole for answer in state.received
         ),
     },
     witnesses={
-        "both callers are answered": lambda state: None not in state.given,
-        "an answer comes after its request was given up": lambda state: any(
-            state.callers[answer.request] is Waiting.FAILED
-            for answer in state.travelling
+        "both callers are answered": lambda state: None not in state.received,
+        "an answer arrives after its request timed out": lambda state: any(
+            state.callers[answer.request] is CallerState.FAILED
+            for answer in state.in_flight
         ),
     },
     guards=(Guard.ANSWER_ID_CHECKED, Guard.ANSWER_LENGTH_CHECKED),
--- a/specification/claims.py
+++ b/specification/claims.py
@@ -1,15 +1,15 @@
 """A non-idempotent request is claimed, dispatched and run at most once.
 
-One caller's request reaches two entries, as it does when the caller gives up on
-the first and sends the same id again. Each entry may stop for any length of time
-between any two steps, which is also how a dead one looks. The store may lose the
-answer to a write before or after its effect, and a lost write may take effect after
-its sender has read the claim again. A request on its way to a target may arrive long
-after its sender gave up on it.
-
-Left out: more than two entries or targets; answers themselves (see `answers`);
-what a caller's second id would do. 'Not run' is said of one call: an entry that
-cannot read the store cannot know what an earlier call with the same id did.
+One caller's request reaches two entries, as when the first call times out and the
+caller retries with the same id. Each entry may pause for any length of time between
+any two steps, which also covers a crash. The store may lose the answer to a write
+before or after its effect, and a lost write may take effect after its sender has read
+the claim again. A request in flight to a target may arrive long after its sender timed
+out.
+
+Left out: more than two entries or targets; answers themselves (see `answers`); a
+caller's second id. 'Not run' refers to one call: an entry that cannot read the store
+cannot know what an earlier call with the same id did.
 """
 
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
 
 
 class Stored(Enum):
-    """What the claim in the store says."""
+    """The state of the claim in the store."""
 
     NONE = "none"
     CLAIMED = "claimed"
@@ -31,7 +31,7 @@
 
 
 class Step(Enum):
-    """Where one entry stands with its call."""
+    """The state of one entry's call."""
 
     READ = "read"
     CLAIM = "claim"
@@ -48,22 +48,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One entry with its call, and its request's way to a target.
+    """One entry's call, and its requests in flight to a target.
 
     Attributes:
         seen: Mod revision of the claim that the entry decides on; 0 when absent.
         late: A lost write that may still take effect, if any.
         late_over: The mod revision that the lost write expects.
-        travelling: Requests on their way to a target.
-        refused: Whether the target has said that it did not run the request.
-        ran: How often a request of this call has run.
+        in_flight: Number of requests in flight to a target.
+        refused: Whether the target has answered that it did not run the request.
+        ran: Number of times a request of this call has run.
     """
 
     step: Step = Step.READ
     seen: int = 0
     late: Stored | None = None
     late_over: int = 0
-    travelling: int = 0
+    in_flight: int = 0
     refused: bool = False
     ran: int = 0
 
@@ -73,9 +73,9 @@
     """The claim and both calls.
 
     Attributes:
-        holder: Which call's token stands in the claim.
+        holder: Index of the call whose token the claim holds; -1 for none.
         revision: Mod revision of the claim; 0 when absent.
-        writes: Counts the writes, as the store does; it never falls.
+        writes: Number of writes so far, like the store's revision; it never falls.
     """
 
     stored: Stored = Stored.NONE
@@ -90,7 +90,7 @@
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     for index in (0, 1):
         yield from _list_call_steps(state, index, rules)
     yield from _list_expiry(state, rules)
@@ -114,7 +114,7 @@
             state, index, rules, Stored.DISPATCHED, Step.DISPATCHED
         )
     elif call.step is Step.DISPATCHED:
-        yield f"{name} sends", _change(state, index, Step.SENT, travelling=1)
+        yield f"{name} sends", _change(state, index, Step.SENT, in_flight=1)
     elif call.step is Step.SENT:
         yield from _wait(state, index, rules)
     elif call.step is Step.REFUSED:
@@ -125,11 +125,14 @@
         yield from _refuse_early(state, index, rules)
     yield from _arrive(state, index)
     if call.late is not None:
-        yield f"the lost write of entry {index} arrives", _land_late(state, index)
+        yield (
+            f"the lost write of entry {index} arrives",
+            _apply_late_write(state, index),
+        )
 
 
-def _land_late(state: State, index: int) -> State:
-    """A write that its sender gave up on still compares the revision."""
+def _apply_late_write(state: State, index: int) -> State:
+    """Apply a write whose sender no longer waits; it still compares the revision."""
     call = state.calls[index]
     landed = _change(state, index, call.step, late=None, late_over=0)
     if call.late is None or state.revision != call.late_over:
@@ -161,7 +164,7 @@
 
 
 def _claim(state: State, index: int, rules: Rules) -> Iterator[tuple[str, State]]:
-    """A claim that was never dispatched may be taken over from its holder."""
+    """Take the claim, also from a holder that has not dispatched yet."""
     yield from _swap(
         *(state, index, Stored.CLAIMED, Guard.CLAIM_COMPARED in rules),
         *(Step.CLAIMED, Step.CLAIM_LOST),
@@ -181,12 +184,12 @@
 def _swap(
     state: State, index: int, stored: Stored, compared: bool, done: Step, lost: Step
 ) -> Iterator[tuple[str, State]]:
-    """Write the claim; the answer may be lost with the effect or without."""
+    """Write the claim; the answer may be lost with or without the effect."""
     name = f"entry {index} writes {stored.value}"
     yield f"{name}: lost, without effect", _change(state, index, lost)
     over = state.calls[index].seen
     late = _change(state, index, lost, late=stored, late_over=over)
-    yield f"{name}: lost on its way", late
+    yield f"{name}: delayed", late
     if compared and state.revision != state.calls[index].seen:
         yield f"{name}: refused", _change(state, index, Step.TOLD)
     elif state.writes < MAX_WRITES:
@@ -198,7 +201,7 @@
 def _resolve_lost(
     state: State, index: int, rules: Rules, stored: Stored, done: Step
 ) -> Iterator[tuple[str, State]]:
-    """Read the claim again; only one's own token counts as one's own write."""
+    """Read the claim again; only this call's token proves its own write."""
     name = f"entry {index}"
     if Guard.LOST_ANSWER_REREAD not in rules:
         yield f"{name} assumes its write", _change(state, index, done)
@@ -207,7 +210,7 @@
         yield f"{name} finds its write", following
     elif state.holder == index and state.stored is Stored.CLAIMED:
         following = _change(state, index, Step.CLAIMED, seen=state.revision)
-        yield f"{name} finds its claim as it was", following
+        yield f"{name} finds its claim unchanged", following
     elif state.stored is Stored.NONE:
         yield f"{name} finds no claim", _change(state, index, Step.READ)
     else:
@@ -218,17 +221,17 @@
     call = state.calls[index]
     if call.refused:
         yield f"entry {index} reads 'not run'", _change(state, index, Step.REFUSED)
-    yield f"entry {index} gives up waiting", _change(state, index, Step.GAVE_UP)
+    yield f"entry {index} times out", _change(state, index, Step.GAVE_UP)
 
 
 def _use_refusal(state: State, index: int) -> Iterator[tuple[str, State]]:
-    """The target's word is proof: send once more, or record and tell."""
+    """Send to another target, or record and tell: the target's refusal is proof."""
     call = state.calls[index]
     name = f"entry {index}"
     again = _change(
-        state, index, Step.SENT, travelling=call.travelling + 1, refused=False
+        state, index, Step.SENT, in_flight=call.in_flight + 1, refused=False
     )
-    if call.travelling == 0:
+    if call.in_flight == 0:
         yield f"{name} sends to another target", again
     told = _change(state, index, Step.TOLD_NOT_RUN)
     mine = state.holder == index and state.stored is Stored.DISPATCHED
@@ -244,8 +247,8 @@
         yield f"{name} records and tells 'unknown'", _write(told, index, Stored.FINAL)
     yield f"{name} tells 'unknown'", told
     if Guard.REDISPATCH_ONLY_IF_PROVED_NOT_RUN not in rules:
-        travelling = state.calls[index].travelling + 1
-        following = _change(state, index, Step.SENT, travelling=travelling)
+        in_flight = state.calls[index].in_flight + 1
+        following = _change(state, index, Step.SENT, in_flight=in_flight)
         yield f"{name} sends again, unproved", following
     if Guard.NOT_RUN_ONLY_IF_PROVED not in rules:
         following = _change(state, index, Step.TOLD_NOT_RUN)
@@ -255,38 +258,38 @@
 def _refuse_early(
     state: State, index: int, rules: Rules
 ) -> Iterator[tuple[str, State]]:
-    """Nothing of this call was sent, and it is over: 'not run' is true of it."""
+    """End the call before it has sent anything, so that 'not run' is true."""
     following = _change(state, index, Step.TOLD_NOT_RUN)
     yield f"entry {index} refuses before sending", following
 
 
 def _arrive(state: State, index: int) -> Iterator[tuple[str, State]]:
     call = state.calls[index]
-    if not call.travelling:
+    if not call.in_flight:
         return
     step = call.step
-    left = call.travelling - 1
+    left = call.in_flight - 1
     ran = min(call.ran + 1, 2)
     yield (
         f"the target runs the request of entry {index}",
-        _change(state, index, step, travelling=left, ran=ran),
+        _change(state, index, step, in_flight=left, ran=ran),
     )
     yield (
         f"the target refuses the request of entry {index}",
-        _change(state, index, step, travelling=left, refused=True),
+        _change(state, index, step, in_flight=left, refused=True),
     )
     yield (
         f"the request of entry {index} is lost",
-        _change(state, index, step, travelling=left),
+        _change(state, index, step, in_flight=left),
     )
 
 
 def _list_expiry(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """The claim's lease ends; with the rule, only when no call can still send."""
+    """Expire the claim; with the guard on, only when no call can still send."""
     if state.stored is Stored.NONE or state.writes >= MAX_WRITES:
         return
     over = all(
-        call.step in (Step.TOLD, Step.TOLD_NOT_RUN, Step.READ) and not call.travelling
+        call.step in (Step.TOLD, Step.TOLD_NOT_RUN, Step.READ) and not call.in_flight
         for call in state.calls
     )
     retried = any(call.step is Step.READ for call in state.calls)
@@ -296,14 +299,14 @@
 
 
 def runs_at_most_once(state: State) -> bool:
-    """At most one request of either call has run."""
+    """Whether the requests of both calls have run at most once in total."""
     return sum(call.ran for call in state.calls) <= 1
 
 
-def is_honest(state: State) -> bool:
-    """No call that was told 'not run' has run, or ever will."""
+def not_run_is_true(state: State) -> bool:
+    """Whether no call that was told 'not run' has run or still can."""
     return not any(
-        call.step is Step.TOLD_NOT_RUN and (call.ran or call.travelling)
+        call.step is Step.TOLD_NOT_RUN and (call.ran or call.in_flight)
         for call in state.calls
     )
 
@@ -314,7 +317,7 @@
     steps=list_steps,
     properties={
         "a non-idempotent request runs at most once": runs_at_most_once,
-        "'not run' is true": is_honest,
+        "'not run' is true": not_run_is_true,
     },
     witnesses={
         "a request runs": lambda state: any(call.ran for call in state.calls),
--- a/specification/explore.py
+++ b/specification/explore.py
@@ -1,9 +1,9 @@
-"""Explore a model with every rule in force, or with one of them switched off.
+"""Explore a model with every guard on, or with one of them switched off.
 
-The search is minicheck's breadth-first sweep, so a broken promise comes with a
-shortest run that breaks it. A sweep that finds nothing also proves nothing if the
-model cannot do anything; each model therefore names what must be reachable, and
-a sweep that never reaches it counts as failed.
+The search is minicheck's breadth-first exploration, so a broken property comes with
+a shortest run that breaks it. An exploration that finds no violation proves nothing
+if the model has too few states; each model therefore names witnesses that must be
+reachable, and an exploration that misses one counts as failed.
 """
 
 from collections.abc import Callable, Hashable, Iterator, Mapping
@@ -17,23 +17,24 @@
 Rules = frozenset[Guard]
 Steps = Iterator[tuple[str, Hashable]]
 
-# A model past this size would take the check past the minute that a developer
-# waits for; it should be split instead.
+# A larger model makes the check take longer than the minute that a developer waits
+# for; split the model instead.
 MAX_STATES = 200_000
 
 
 @dataclass(frozen=True)
 class Model:
-    """One promise's protocol, as states and the steps between them.
+    """The protocol behind one property, as states and the steps between them.
 
     Attributes:
         name: Short, for reports.
-        initial: The state before anything has happened.
-        steps: Yields a label and a following state for all that may happen next,
-            given the rules in force.
+        initial: The state before the first step.
+        steps: Yields a label and the next state for each possible step, given the
+            guards that are on.
         properties: What must hold in every state.
-        witnesses: What must hold in some state, so that the sweep means something.
-        guards: The rules that this model shows to be needed.
+        witnesses: What must hold in at least one state; shows that the model is not
+            vacuous.
+        guards: The guards that this model shows to be needed.
     """
 
     name: str
@@ -46,13 +47,13 @@
 
 @dataclass(frozen=True)
 class Exploration:
-    """What one sweep found.
+    """The result of one exploration.
 
     Attributes:
-        states: How many different states were reached.
-        complete: Whether all of them were.
+        states: Number of different states reached.
+        complete: Whether every reachable state was explored.
         broken: For each broken property the labels of a shortest run to it.
-        unseen: Witnesses that no state showed.
+        unseen: Witnesses that hold in no explored state.
     """
 
     states: int
@@ -62,7 +63,7 @@
 
 
 def explore_whole(model: Model) -> Exploration:
-    """Sweep every state with all rules in force."""
+    """Explore every state with all guards on."""
     seen: set[str] = set()
 
     def steps(wrapped: tuple[Any]) -> list[tuple[str, tuple[Any]]]:
@@ -70,11 +71,11 @@
         seen.update(name for name, holds in model.witnesses.items() if holds(state))
         return _list_steps(model, state, frozenset(Guard))
 
-    return _sweep(model, steps, seen)
+    return _explore(model, steps, seen)
 
 
 def explore_without(model: Model, guard: Guard) -> Exploration:
-    """Sweep without one rule, until the first property breaks."""
+    """Explore with one guard off, until the first property breaks."""
     rules = frozenset(Guard) - {guard}
     broken = False
 
@@ -84,14 +85,14 @@
         broken = broken or not all(holds(state) for holds in model.properties.values())
         return [] if broken else _list_steps(model, state, rules)
 
-    return _sweep(model, steps, set(model.witnesses))
+    return _explore(model, steps, set(model.witnesses))
 
 
 def _list_steps(model: Model, state: Any, rules: Rules) -> list[Any]:
     return [(label, (following,)) for label, following in model.steps(state, rules)]
 
 
-def _sweep(
+def _explore(
     model: Model, steps: Callable[[tuple[Any]], list[Any]], seen: set[str]
 ) -> Exploration:
     protocol = minicheck.Protocol(
--- a/specification/fleet_lease.py
+++ b/specification/fleet_lease.py
@@ -1,13 +1,13 @@
-"""A task whose worker can't be asked runs elsewhere only once its lease is over.
+"""A task on an unreachable worker runs elsewhere only once the worker's lease is over.
 
-The steps of `fleet_task`, in whole ticks: a worker's lease and an owner's run out, a
-start holds for some ticks, a worker's clock may lose one, and an owner that hears
-nothing of a worker waits. Nothing ends but by a lease, and nothing is stopped.
+The steps of `fleet_task`, in whole ticks: the leases of workers and owners expire, a
+start is valid for some ticks, a worker's clock may lose one tick, and an owner waits
+for a silent worker's lease. Runs end only with a lease, and nothing is stopped.
 
-What is found here: a fence alone does not stop a former owner. Its start may reach a
-worker that the new owner could not show its fence to, and that it has given up after
-waiting; only an owner that looks at its own lease before it sends, and leases that it
-extends for a bounded time, make that wait long enough.
+What the model shows: a fence alone does not stop a former owner. Its start may reach
+a worker that never saw the new owner's fence and whose run the new owner has already
+waited out. That wait is long enough only if the former owner checks its own lease
+before it sends, and extends workers' leases for a bounded time only.
 
 Left out: what `fleet_task` leaves out, and clocks that lose more than one tick.
 """
@@ -22,12 +22,12 @@
     steps=list_steps,
     properties={"a task never runs twice at once": runs_once},
     witnesses={
-        "a run is waited out by an owner that never reached it": lambda state: (
+        "an owner that never reached a run's worker waits it out": lambda state: (
             state.second is not None
-            and state.second.blind
+            and state.second.unacquired
             and state.second.belief.phase is Phase.WAITING
         ),
-        "a start is on its way after its owner's lease": lambda state: (
+        "a start is in flight after its owner's lease": lambda state: (
             state.second is not None and any(each.fence == 1 for each in state.starts)
         ),
     },
--- a/specification/fleet_task.py
+++ b/specification/fleet_task.py
@@ -1,20 +1,21 @@
 """A task on the fleet never runs twice at once, nor again after its end counts.
 
-One task, two workers, two owners one after the other, and a store. The owner records
-a run, then sends its start; the start may come late, doubled or never. A worker runs
-on under a lease that every look extends, and keeps the end of a run until it is told
-to forget it. The second owner follows once the first one's lease has lapsed in the
-store; the first one may sleep at any point and wake beside it. Any look, start or
-stop may fail to reach any worker, so a step that is never taken is a cut. A worker may
-crash, and its address then answers for its next life.
-
-Swept here without time, so that nothing lapses but the first owner; `fleet_lease`
-sweeps the same steps in whole ticks, without ends and stops. Both at once hold too, in
-392,542 states, which takes two minutes and is therefore not swept each time.
-
-Left out: gangs (see `gang start`), looks whose answers overtake one another, further
-owners, a lost answer from the store, the way of a message between the check of the
-owner's lease and the worker, and whether every task ends.
+One task, two workers, two successive owners, and a store. The owner records a run,
+then sends its start; the start may arrive late, twice or never. A worker runs under a
+lease that every poll extends, and keeps the end of a run until the end is
+acknowledged. The second owner takes over once the first one's lease has lapsed in the
+store; the first one may pause at any point and resume beside it. Any poll, start or
+stop may fail to reach any worker: a step that is never taken models a partition. A
+worker may crash, and its address then answers for its next incarnation.
+
+Explored here without time, so that no lease lapses except the first owner's;
+`fleet_lease` explores the same steps in whole ticks, without ends and stops. Both
+together hold too, in 392,542 states, which takes two minutes and is therefore not
+part of the check.
+
+Left out: gangs (see `gang start`), polls whose answers are reordered, further owners,
+a lost answer from the store, a message's delay between the check of the owner's lease
+and the worker, and whether every task ends.
 """
 
 from collections.abc import Iterator
@@ -25,18 +26,18 @@
 from specification.guards import Guard
 
 RUN_LIMIT = 2
-# A worker's lease; the first owner's in the store, and how long after that it goes on
-# extending workers' leases; what a worker's clock may lose.
+# A worker's lease; the first owner's lease in the store, and how long after that it
+# still extends workers' leases; how much a worker's clock may lose.
 LEASE_TICKS = 2
 OWNER_TICKS = 1
-CARE_TICKS = 1
+EXTENSION_TICKS = 1
 SLOW_TICKS = 1
-WAIT_TICKS = LEASE_TICKS + SLOW_TICKS
-BLIND_TICKS = CARE_TICKS + LEASE_TICKS + SLOW_TICKS
+SILENCE_WAIT_TICKS = LEASE_TICKS + SLOW_TICKS
+UNACQUIRED_WAIT_TICKS = EXTENSION_TICKS + LEASE_TICKS + SLOW_TICKS
 
 
 class Phase(Enum):
-    """How far a task is."""
+    """The state of a task."""
 
     WAITING = 0
     ORDERED = 1
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What the store says of the task."""
+    """The task's record in the store."""
 
     phase: Phase = Phase.WAITING
     run: int = 0
@@ -53,15 +54,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
-    """One worker's life.
+class Incarnation:
+    """One worker's incarnation.
 
     Attributes:
-        run: What runs there; 0 for nothing.
-        stopping: That run was stopped and has not ended yet.
-        barred: No run up to this one starts there any more.
-        ended: The run that has ended well and is still listed.
-        counts: The lease has not run out since that end.
+        run: The run in progress; 0 for none.
+        stopping: Whether that run was stopped and has not ended yet.
+        barred: Starts of runs up to this one are refused.
+        ended: The run that has succeeded and is still reported; 0 for none.
+        counts: Whether the lease has not expired since that end.
     """
 
     up: bool = True
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A start on its way: it holds for some ticks of its worker's clock."""
+    """A start in flight, valid for some ticks of its worker's clock."""
 
     worker: int
     run: int
@@ -86,15 +87,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """What one owner believes.
+    """One owner's view of the task.
 
     Attributes:
-        recorded: The store has what it believes.
-        sent: It has sent the start of this run.
-        restored: The run is from the record, ordered by the other owner.
-        stopped: The worker has answered a stop of this run.
-        blind: The worker has not yet answered this owner.
-        silent: Ticks since it last extended the worker's lease, or since it began.
+        belief: The record as the owner knows it.
+        recorded: Whether the store has that record.
+        sent: Whether it has sent the start of this run.
+        restored: Whether the run was read from the record, ordered by the other owner.
+        stopped: Whether the worker has answered a stop of this run.
+        unacquired: Whether the worker has not yet answered this owner.
+        silent_ticks: Ticks since it last extended the worker's lease, sent the start,
+            decided the run or took over.
     """
 
     belief: Record = Record()
@@ -102,8 +105,8 @@
     sent: bool = False
     restored: bool = False
     stopped: bool = False
-    blind: bool = False
-    silent: int = 0
+    unacquired: bool = False
+    silent_ticks: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,48 +114,49 @@
     """Workers, store and owners.
 
     Attributes:
-        timed: Time passes, and nothing ends but by a lease; else nothing lapses.
-        starts: Orders on their way.
-        care: Ticks for which the first owner may extend leases; it may give orders
-            while more than CARE_TICKS are left.
+        timed: Whether time passes and runs end only with a lease; otherwise no
+            worker's lease expires.
+        starts: Starts in flight.
+        extension_ticks: Ticks for which the first owner may extend leases; it may send
+            orders while more than EXTENSION_TICKS are left.
         second: The second owner, once it has taken over.
         late: An older record that the store may still write.
-        lost: What the workers' clocks have lost, in ticks.
-        begun: The highest run that has begun.
-        taken: An end that counts was taken note of.
-        again: A run began after an end that counts.
+        lost_ticks: Ticks that the workers' clocks have lost in total.
+        highest_begun: The highest run that has begun.
+        end_counted: Whether an end that counts was acknowledged.
+        ran_again: Whether a run began after an end that counts.
     """
 
     timed: bool = False
-    lives: tuple[Life, Life] = (Life(), Life())
+    incarnations: tuple[Incarnation, Incarnation] = (Incarnation(), Incarnation())
     record: Record = Record()
     starts: frozenset[Start] = frozenset()
     first: Owner = Owner()
-    care: int = OWNER_TICKS + CARE_TICKS
+    extension_ticks: int = OWNER_TICKS + EXTENSION_TICKS
     second: Owner | None = None
     late: Record | None = None
-    lost: int = 0
-    begun: int = 0
-    taken: bool = False
-    again: bool = False
+    lost_ticks: int = 0
+    highest_begun: int = 0
+    end_counted: bool = False
+    ran_again: bool = False
 
 
 Steps = Iterator[tuple[str, State]]
 
 
 def list_steps(state: State, rules: Rules) -> Steps:
-    """Yield all that may happen next."""
-    if state.again or not runs_once(state):
+    """Yield every possible next step."""
+    if state.ran_again or not runs_once(state):
         return
     if state.timed:
         yield "time passes", _pass_time(state, slow=None)
-    elif state.care > CARE_TICKS:
-        lapsed = replace(state, care=CARE_TICKS)
+    elif state.extension_ticks > EXTENSION_TICKS:
+        lapsed = replace(state, extension_ticks=EXTENSION_TICKS)
         yield "the first owner's lease lapses", lapsed
     for index in (0, 1):
         if not state.timed:
-            yield from _list_life(state, index)
-        elif state.lives[index].lease and state.lost < SLOW_TICKS:
+            yield from _list_incarnation(state, index)
+        elif state.incarnations[index].lease and state.lost_ticks < SLOW_TICKS:
             yield f"clock {index} loses a tick", _pass_time(state, slow=index)
     for start in state.starts:
         yield from _deliver(state, start)
@@ -161,10 +165,14 @@
         yield from _list_owner(state, number, rules)
 
 
-def _put_life(state: State, index: int, **changes: object) -> State:
-    life = replace(state.lives[index], **changes)  # type: ignore[arg-type]
-    lives = (life, state.lives[1]) if index == 0 else (state.lives[0], life)
-    return replace(state, lives=lives)
+def _put_incarnation(state: State, index: int, **changes: object) -> State:
+    incarnation = replace(state.incarnations[index], **changes)  # type: ignore[arg-type]
+    incarnations = (
+        (incarnation, state.incarnations[1])
+        if index == 0
+        else (state.incarnations[0], incarnation)
+    )
+    return replace(state, incarnations=incarnations)
 
 
 def _get_owner(state: State, number: int) -> Owner:
@@ -189,91 +197,102 @@
         start if start.worker == slow else replace(start, ticks=start.ticks - 1)
         for start in state.starts
     }
-    # The second owner renews its own lease; the first may, by a step of its own.
+    # The second owner always renews its own lease; the first may, in a separate step.
     following = replace(
         following,
         starts=frozenset(start for start in starts if start.ticks > 0),
-        care=max(state.care - 1, 0),
-        lost=state.lost + (slow is not None),
+        extension_ticks=max(state.extension_ticks - 1, 0),
+        lost_ticks=state.lost_ticks + (slow is not None),
     )
     for number in (1, 2):
         owner = following.first if number == 1 else following.second
         if owner is not None and owner.belief.phase is Phase.ORDERED:
-            silent = min(owner.silent + 1, BLIND_TICKS if owner.blind else WAIT_TICKS)
-            following = _put_owner(following, number, silent=silent)
+            silent_ticks = min(
+                owner.silent_ticks + 1,
+                UNACQUIRED_WAIT_TICKS if owner.unacquired else SILENCE_WAIT_TICKS,
+            )
+            following = _put_owner(following, number, silent_ticks=silent_ticks)
     return following
 
 
 def _tick(state: State, index: int) -> State:
-    life = state.lives[index]
-    lease = max(life.lease - 1, 0)
+    incarnation = state.incarnations[index]
+    lease = max(incarnation.lease - 1, 0)
     if lease:
-        return _put_life(state, index, lease=lease)
-    run = life.run
-    return _put_life(
+        return _put_incarnation(state, index, lease=lease)
+    run = incarnation.run
+    return _put_incarnation(
         state,
         index,
         lease=0,
         run=0,
         stopping=False,
-        barred=max(life.barred, run),
+        barred=max(incarnation.barred, run),
         counts=False,
     )
 
 
-def _list_life(state: State, index: int) -> Steps:
-    life = state.lives[index]
-    if not life.up:
+def _list_incarnation(state: State, index: int) -> Steps:
+    incarnation = state.incarnations[index]
+    if not incarnation.up:
         return
     if index == 0:
-        # The other one stays, so that there is where to run.
-        lives = (Life(up=False), state.lives[1])
-        yield "worker 0 crashes", replace(state, lives=lives)
-    if life.stopping:
-        barred = max(life.barred, life.run)
-        stopped = _put_life(state, index, run=0, stopping=False, barred=barred)
+        # Worker 1 never crashes, so that a run always has a worker left.
+        incarnations = (Incarnation(up=False), state.incarnations[1])
+        yield "worker 0 crashes", replace(state, incarnations=incarnations)
+    if incarnation.stopping:
+        barred = max(incarnation.barred, incarnation.run)
+        stopped = _put_incarnation(state, index, run=0, stopping=False, barred=barred)
         yield f"the stopped run on worker {index} ends", stopped
-    if life.run:
+    if incarnation.run:
         yield (
-            f"the run on worker {index} ends well",
-            _put_life(
+            f"the run on worker {index} succeeds",
+            _put_incarnation(
                 state,
                 index,
                 run=0,
                 stopping=False,
-                barred=max(life.barred, life.run),
-                ended=life.run,
+                barred=max(incarnation.barred, incarnation.run),
+                ended=incarnation.run,
                 counts=True,
             ),
         )
 
 
 def _deliver(state: State, start: Start) -> Steps:
-    """Carry a start out; it may be carried out again, as the order may be doubled."""
-    life = state.lives[start.worker]
-    refused = start.fence < life.fence or start.run <= life.barred or life.run
-    if not life.up or refused:
+    """Begin a run; the start stays in flight, since it may be delivered twice."""
+    incarnation = state.incarnations[start.worker]
+    refused = (
+        start.fence < incarnation.fence
+        or start.run <= incarnation.barred
+        or incarnation.run
+    )
+    if not incarnation.up or refused:
         return
-    following = _put_life(
+    following = _put_incarnation(
         state,
         start.worker,
         run=start.run,
         fence=start.fence,
-        lease=max(life.lease, start.ticks),
+        lease=max(incarnation.lease, start.ticks),
     )
     yield (
         f"the start of run {start.run} reaches worker {start.worker}",
-        replace(following, begun=max(state.begun, start.run), again=state.taken),
+        replace(
+            following,
+            highest_begun=max(state.highest_begun, start.run),
+            ran_again=state.end_counted,
+        ),
     )
 
 
 def _list_store(state: State) -> Steps:
     if state.second is None:
-        if state.care > CARE_TICKS:
-            renewed = replace(state, care=OWNER_TICKS + CARE_TICKS)
+        if state.extension_ticks > EXTENSION_TICKS:
+            renewed = replace(state, extension_ticks=OWNER_TICKS + EXTENSION_TICKS)
             yield "the first owner renews its lease", renewed
         else:
-            second = Owner(belief=state.record, restored=True, blind=True)
+            second = Owner(belief=state.record, restored=True, unacquired=True)
             yield "the second owner takes over", replace(state, second=second)
         if state.late is not None:
             landed = replace(state, record=state.late, late=None)
@@ -281,17 +300,17 @@
 
 
 def _owns(state: State, number: int) -> bool:
-    """Whether the store takes this owner's records."""
+    """Whether the store accepts this owner's records."""
     return (number == 1) == (state.second is None)
 
 
 def _may_act(state: State, number: int, rules: Rules) -> bool:
-    past = number == 1 and state.care <= CARE_TICKS
+    past = number == 1 and state.extension_ticks <= EXTENSION_TICKS
     return not past or Guard.NO_ORDER_PAST_LEASE not in rules
 
 
-def _may_care(state: State, number: int, rules: Rules) -> bool:
-    past = number == 1 and not state.care
+def _may_extend_leases(state: State, number: int, rules: Rules) -> bool:
+    past = number == 1 and not state.extension_ticks
     return not past or Guard.CARE_IS_BOUNDED not in rules
 
 
@@ -307,11 +326,11 @@
         if not state.timed:
             yield from _stop(state, number, rules)
     if owner.belief.phase is Phase.ORDERED:
-        if _may_care(state, number, rules):
-            yield from _look(state, number, rules)
+        if _may_extend_leases(state, number, rules):
+            yield from _poll(state, number, rules)
         if state.timed:
             yield from _wait_out(state, number, rules)
-        yield from _hear_of_address(state, number, rules)
+        yield from _read_worker_list(state, number, rules)
 
 
 def _record(state: State, number: int, rules: Rules) -> Steps:
@@ -320,7 +339,7 @@
     written = _put_owner(written, number, recorded=True)
     yield f"owner {number} records {owner.belief.phase.name.lower()}", written
     if Guard.RECORD_COMPARED not in rules and state.late is None:
-        label = f"owner {number} records it at the second try"
+        label = f"owner {number} records it on a retry"
         yield label, replace(written, late=owner.belief)
 
 
@@ -330,8 +349,8 @@
     if belief.phase is not Phase.WAITING or belief.run >= RUN_LIMIT:
         return
     for index in (0, 1):
-        # The two are alike: the first run goes to the first one.
-        if state.lives[index].up and (belief.run or index == 0):
+        # The workers are symmetric, so the first run goes to worker 0.
+        if state.incarnations[index].up and (belief.run or index == 0):
             ordered = Record(Phase.ORDERED, belief.run + 1, index)
             yield (
                 f"owner {number} decides run {ordered.run} on worker {index}",
@@ -343,8 +362,8 @@
                     sent=False,
                     restored=False,
                     stopped=False,
-                    blind=False,
-                    silent=0,
+                    unacquired=False,
+                    silent_ticks=0,
                 ),
             )
 
@@ -360,106 +379,107 @@
     sent = replace(state, starts=state.starts | {start})
     yield (
         f"owner {number} sends the start of run {belief.run}",
-        _put_owner(sent, number, sent=True, silent=0),
+        _put_owner(sent, number, sent=True, silent_ticks=0),
     )
 
 
 def _stop(state: State, number: int, rules: Rules) -> Steps:
-    """Stop a run that is to end; unanswered, the stop may be carried out or not."""
+    """Stop a run; a stop without an answer may have been carried out or not."""
     owner = _get_owner(state, number)
     belief = owner.belief
-    life = state.lives[belief.worker]
-    if belief.phase is not Phase.ORDERED or owner.stopped or number < life.fence:
+    incarnation = state.incarnations[belief.worker]
+    if belief.phase is not Phase.ORDERED or owner.stopped or number < incarnation.fence:
         return
-    if not life.up or Guard.RUN_BARRED_BEFORE_NEXT not in rules:
+    if not incarnation.up or Guard.RUN_BARRED_BEFORE_NEXT not in rules:
         return
-    barred = _put_life(
+    barred = _put_incarnation(
         state,
         belief.worker,
         fence=number,
-        barred=max(life.barred, belief.run),
-        stopping=life.run == belief.run,
+        barred=max(incarnation.barred, belief.run),
+        stopping=incarnation.run == belief.run,
     )
-    yield f"the stop by owner {number} is carried out unheard", barred
+    yield f"the stop by owner {number} is carried out, its answer lost", barred
     answered = _put_owner(barred, number, stopped=True)
     if Guard.STOP_END_AWAITED not in rules:
-        answered = _give_up(barred, number)
+        answered = _mark_gone(barred, number)
     yield f"the stop by owner {number} is answered", answered
 
 
-def _give_up(state: State, number: int) -> State:
-    """Take the run as gone, so that the next one may be decided."""
+def _mark_gone(state: State, number: int) -> State:
+    """Mark the run as gone, so that the next one may be decided."""
     belief = replace(_get_owner(state, number).belief, phase=Phase.WAITING)
     return _put_owner(state, number, belief=belief, recorded=False)
 
 
-def _look(state: State, number: int, rules: Rules) -> Steps:
+def _poll(state: State, number: int, rules: Rules) -> Steps:
     owner = _get_owner(state, number)
     belief = owner.belief
-    life = state.lives[belief.worker]
-    if not life.up:
-        gone = _give_up(state, number)
-        yield f"owner {number} hears that life {belief.worker} is over", gone
+    incarnation = state.incarnations[belief.worker]
+    if not incarnation.up:
+        gone = _mark_gone(state, number)
+        yield f"owner {number} learns that incarnation {belief.worker} is over", gone
         return
-    if number < life.fence:
+    if number < incarnation.fence:
         return
-    seen = _put_life(state, belief.worker, fence=number, lease=LEASE_TICKS)
-    seen = _put_owner(seen, number, blind=False, silent=0)
-    label = f"owner {number} looks at worker {belief.worker}"
-    if life.ended == belief.run:
-        yield f"{label} and sees the end", _take_end(seen, number, rules)
+    seen = _put_incarnation(state, belief.worker, fence=number, lease=LEASE_TICKS)
+    seen = _put_owner(seen, number, unacquired=False, silent_ticks=0)
+    label = f"owner {number} polls worker {belief.worker}"
+    if incarnation.ended == belief.run:
+        yield f"{label} and sees the end", _record_end(seen, number, rules)
         return
     yield label, seen
-    if life.run == belief.run:
+    if incarnation.run == belief.run:
         return
-    # What an earlier owner ordered can't come after this look's higher fence.
+    # This poll's higher fence blocks every start that an earlier owner sent.
     certain = owner.restored or owner.stopped
     if certain or Guard.RUN_BARRED_BEFORE_NEXT not in rules:
-        yield f"{label} and does not see the run", _give_up(seen, number)
+        yield f"{label} and does not see the run", _mark_gone(seen, number)
 
 
-def _take_end(state: State, number: int, rules: Rules) -> State:
+def _record_end(state: State, number: int, rules: Rules) -> State:
     belief = replace(_get_owner(state, number).belief, phase=Phase.DONE)
     done = _put_owner(state, number, belief=belief, recorded=False)
     if Guard.END_STORED_BEFORE_FORGOTTEN not in rules:
-        return _forget(done, belief.worker)
+        return _acknowledge_end(done, belief.worker)
     if not _owns(state, number):
         return done
     stored = replace(done, record=belief)
-    return _forget(_put_owner(stored, number, recorded=True), belief.worker)
+    return _acknowledge_end(_put_owner(stored, number, recorded=True), belief.worker)
 
 
-def _forget(state: State, index: int) -> State:
-    life = state.lives[index]
+def _acknowledge_end(state: State, index: int) -> State:
+    incarnation = state.incarnations[index]
     return replace(
-        _put_life(state, index, ended=0, counts=False),
-        taken=state.taken or life.counts,
-        again=state.again or (life.counts and state.begun > life.ended),
+        _put_incarnation(state, index, ended=0, counts=False),
+        end_counted=state.end_counted or incarnation.counts,
+        ran_again=state.ran_again
+        or (incarnation.counts and state.highest_begun > incarnation.ended),
     )
 
 
 def _wait_out(state: State, number: int, rules: Rules) -> Steps:
     owner = _get_owner(state, number)
-    enough = BLIND_TICKS if owner.blind else WAIT_TICKS
+    enough = UNACQUIRED_WAIT_TICKS if owner.unacquired else SILENCE_WAIT_TICKS
     if Guard.SLOW_CLOCK_ALLOWED_FOR not in rules:
         enough -= SLOW_TICKS
-    if owner.silent >= enough or Guard.SILENCE_WAITED_OUT not in rules:
+    if owner.silent_ticks >= enough or Guard.SILENCE_WAITED_OUT not in rules:
         label = (
-            f"owner {number} takes the lease of worker {owner.belief.worker} as over"
+            f"owner {number} treats the lease of worker {owner.belief.worker} as over"
         )
-        yield label, _give_up(state, number)
+        yield label, _mark_gone(state, number)
 
 
-def _hear_of_address(state: State, number: int, rules: Rules) -> Steps:
-    """The list may name another life at a worker's address at any time."""
+def _read_worker_list(state: State, number: int, rules: Rules) -> Steps:
+    """Read the list; it may name another incarnation at an address at any time."""
     if Guard.LIFE_ENDS_BY_OWN_WORD not in rules:
-        label = f"the list names another life at the address, for owner {number}"
-        yield label, _give_up(state, number)
+        label = f"the list names another incarnation there, for owner {number}"
+        yield label, _mark_gone(state, number)
 
 
 def runs_once(state: State) -> bool:
-    """Whether at most one run of the task is there."""
-    return sum(bool(life.run) for life in state.lives) < 2
+    """Whether at most one run of the task is in progress."""
+    return sum(bool(incarnation.run) for incarnation in state.incarnations) < 2
 
 
 MODEL = Model(
@@ -468,17 +488,22 @@
     steps=list_steps,
     properties={
         "a task never runs twice at once": runs_once,
-        "a task never runs again after its end counts": lambda state: not state.again,
+        "a task never runs again after its end counts": lambda state: (
+            not state.ran_again
+        ),
     },
     witnesses={
-        "a run ends well and is recorded": lambda state: (
+        "a run succeeds and is recorded": lambda state: (
             state.record.phase is Phase.DONE
         ),
         "the second owner starts the second run": lambda state: (
             state.second is not None
-            and any(life.run == RUN_LIMIT and life.fence == 2 for life in state.lives)
+            and any(
+                incarnation.run == RUN_LIMIT and incarnation.fence == 2
+                for incarnation in state.incarnations
+            )
         ),
-        "a run is on its way while the next owner decides": lambda state: (
+        "a start is in flight while the next owner decides": lambda state: (
             state.second is not None and any(each.fence == 1 for each in state.starts)
         ),
     },
--- a/specification/gang_lease.py
+++ b/specification/gang_lease.py
@@ -1,16 +1,16 @@
 """A gang that lost a member stops everywhere within one lease, and runs once.
 
 A gang that may be restarted runs on two workers under leases, which three kinds of
-process may renew: the first owner, which may sleep past its own store lease; the
+process may renew: the first owner, which may pause past its own store lease; the
 second owner, once that lease has lapsed in the store; and a caretaker, while the
-store is down. Any look or command may fail to reach any worker, at any time and for
-each process differently; a process may sleep between looking and renewing. A worker
-may lose its task at any time. Time passes in whole ticks.
+store is down. Any poll or command may fail to reach any worker, at any time and
+independently for each process; a process may pause between polling and renewing. A
+worker may lose its task at any time. Time passes in whole ticks.
 
-What is found here: a renewal must not extend a lease by a whole time to live from
-when it is sent, but only to one time to live after the last round that saw the whole
-gang began. Then a sleep between looking and renewing does no harm, and the bound on
-running in part is the lease itself, without another renewal interval on top.
+What the model shows: a renewal must not extend a lease by a full time to live from
+when it is sent, but only to one time to live after the start of the last round that
+saw the whole gang. Then a pause between polling and renewing is harmless, and the
+bound on running in part is the lease itself, without another renewal interval.
 
 Left out: the time that a command itself needs (it adds to the bound), clocks of
 different speed, a caretaker that alone cannot reach a store that is up, further
@@ -35,18 +35,18 @@
     Attributes:
         lease: Ticks until the lease lapses.
         fenced: Whether the worker has seen the second owner's epoch.
-        gone: Whether the second owner knows that the task is stopped.
+        known_stopped: Whether the second owner knows that the task has stopped.
     """
 
     running: bool = True
     lease: int = TASK_TICKS
     fenced: bool = False
-    gone: bool = False
+    known_stopped: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """Workers, store and those who renew.
+    """The workers, the store and the processes that renew.
 
     Attributes:
         store_up: Whether the store answers.
@@ -56,9 +56,9 @@
         second_age: Likewise for the second owner.
         caretaker_age: Likewise for the caretaker.
         waited: Ticks for which the second owner has owned the cell, the store has
-            answered without a break, and it has not seen the gang whole.
+            answered without interruption, and it has not seen the gang whole.
         restarted: Whether another attempt of the gang runs elsewhere.
-        partial: Full ticks for which one member has run without the other.
+        partial_ticks: Full ticks for which one member has run without the other.
     """
 
     members: tuple[Member, Member] = (Member(), Member())
@@ -70,11 +70,11 @@
     caretaker_age: int = TASK_TICKS
     waited: int = 0
     restarted: bool = False
-    partial: int = 0
+    partial_ticks: int = 0
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     if state.restarted:
         return
     yield "time passes", _pass_time(state, rules)
@@ -118,7 +118,7 @@
         second_age=min(state.second_age + 1, TASK_TICKS),
         caretaker_age=min(state.caretaker_age + 1, TASK_TICKS),
         waited=min(state.waited + 1, TASK_TICKS) if waiting else 0,
-        partial=min(state.partial + 1, TASK_TICKS) if still_partial else 0,
+        partial_ticks=min(state.partial_ticks + 1, TASK_TICKS) if still_partial else 0,
     )
 
 
@@ -135,7 +135,10 @@
 
 
 def _renew(state: State, index: int, age: int, whole: bool) -> State:
-    """Extend a lease to one time to live after the gang was last seen whole."""
+    """Extend a lease to one time to live after the gang was last seen whole.
+
+    Without `whole`, extend it by one time to live from now.
+    """
     member = state.members[index]
     ticks = TASK_TICKS - age if whole else TASK_TICKS
     return _put_member(state, index, lease=max(member.lease, ticks))
@@ -143,11 +146,11 @@
 
 def _list_first_owner(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
     if not state.owner_lease and Guard.OWNER_STOPS_ACTING_AT_LAPSE in rules:
-        may_look = False
+        may_poll = False
     else:
-        may_look = True
+        may_poll = True
     reachable = [member.running and not member.fenced for member in state.members]
-    if may_look and all(reachable):
+    if may_poll and all(reachable):
         yield "the first owner sees the gang whole", replace(state, first_age=0)
     whole = Guard.RENEWED_ONLY_WHOLE in rules
     for index in (0, 1):
@@ -158,16 +161,16 @@
 
 def _list_caretaker(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
     """A caretaker repeats the epoch that a worker reports, so it is never refused."""
-    may_look = not state.store_up or Guard.CARETAKER_ONLY_IN_OUTAGE not in rules
+    may_poll = not state.store_up or Guard.CARETAKER_ONLY_IN_OUTAGE not in rules
     running = [member.running for member in state.members]
     whole = Guard.CARETAKER_RENEWS_WHOLE in rules
-    if may_look and (all(running) or (any(running) and not whole)):
+    if may_poll and (all(running) or (any(running) and not whole)):
         yield "the caretaker sees what it renews", replace(state, caretaker_age=0)
     for index in (0, 1):
         if running[index] and state.caretaker_age < TASK_TICKS:
             following = _renew(state, index, state.caretaker_age, whole=True)
             yield f"the caretaker renews on worker {index}", following
-    if may_look and not all(running) and Guard.CARETAKER_ONLY_RENEWS not in rules:
+    if may_poll and not all(running) and Guard.CARETAKER_ONLY_RENEWS not in rules:
         yield "the caretaker restarts the gang", replace(state, restarted=True)
 
 
@@ -187,11 +190,11 @@
     if member.running:
         fenced = _put_member(state, index, fenced=True)
         yield f"the second owner reaches worker {index}", fenced
-        stopped = _put_member(_stop(fenced, index), index, gone=True)
+        stopped = _put_member(_stop(fenced, index), index, known_stopped=True)
         yield f"the second owner stops worker {index}", stopped
     else:
-        gone = _put_member(state, index, fenced=True, gone=True)
-        yield f"the second owner sees that worker {index} stopped", gone
+        known_stopped = _put_member(state, index, fenced=True, known_stopped=True)
+        yield f"the second owner sees that worker {index} stopped", known_stopped
     if member.running and state.second_age < TASK_TICKS:
         following = _renew(state, index, state.second_age, whole=True)
         yield f"the second owner renews on worker {index}", following
@@ -199,7 +202,7 @@
 
 def _restart(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
     lapsed = state.waited >= TASK_TICKS
-    ended = all(member.gone or lapsed for member in state.members)
+    ended = all(member.known_stopped or lapsed for member in state.members)
     if not ended and Guard.RESTART_AFTER_LAPSE in rules:
         return
     if state.store_up:
@@ -212,7 +215,7 @@
     steps=list_steps,
     properties={
         "a gang runs in part for less than one lease": lambda state: (
-            state.partial < TASK_TICKS
+            state.partial_ticks < TASK_TICKS
         ),
         "two attempts of a gang never run at once": lambda state: (
             not (state.restarted and any(member.running for member in state.members))
@@ -220,7 +223,7 @@
     },
     witnesses={
         "a gang is restarted": lambda state: state.restarted,
-        "a restart without a word from a worker": lambda state: (
+        "a gang is restarted without an answer from any worker": lambda state: (
             state.restarted and not any(member.fenced for member in state.members)
         ),
         "the second owner keeps the gang": lambda state: (
@@ -232,7 +235,7 @@
             and all(member.running for member in state.members)
             and state.first_age == TASK_TICKS
         ),
-        "a gang runs in part": lambda state: state.partial > 0,
+        "a gang runs in part": lambda state: state.partial_ticks > 0,
     },
     guards=(
         Guard.LEASE_LAPSE_STOPS_TASK,
--- a/specification/gang_start.py
+++ b/specification/gang_start.py
@@ -1,19 +1,19 @@
 """A gang that may not run twice is started whole, once, across a change of owner.
 
 The first owner starts the gang on two workers: prepare and hold both, record the
-start by compare-and-swap, tell both to go. At any moment the second owner may take
-the cell over while the first still believes that it owns it; so every step of the
-first may come arbitrarily late, which is also how a pause or a slow network looks.
-The second owner decides from the job's record and from what the workers report.
-The store may lose the answer to the start's write, which may even take effect after
-the owner has read the record again; a worker may lose its task or be out of reach of
-the second owner; and a caller may cancel.
+start by compare-and-swap, tell both to go. The second owner may take the cell over at
+any moment while the first still believes that it owns it, so every step of the first
+may come arbitrarily late; this also covers a pause or a slow network. The second owner
+decides from the job's record and the workers' reports. The store may lose the answer
+to the start's write, which may even take effect after the owner has read the record
+again; a worker may lose its task or be unreachable for the second owner; and a caller
+may cancel.
 
 The second owner's own start is one step: it follows the same rules on workers that
-the first never uses, so its stages would repeat what is shown already.
+the first never uses, so its stages would show nothing new.
 
-Left out: time (see `gang_lease`), more members, the end of a run, and a third
-owner; a worker forgets nothing while it lives.
+Left out: time (see `gang_lease`), more members, the end of a run, a third owner, and
+restarts of a worker, which would lose its state.
 """
 
 from collections.abc import Iterator
@@ -43,14 +43,14 @@
 
 
 class Step(Enum):
-    """What an owner is about to do."""
+    """An owner's next step."""
 
     READ = "read"
     PREPARE = "prepare"
     RECORD = "record"
     RECORD_LOST = "record lost"
     GO = "go"
-    LOOK = "look"
+    POLL = "look"
     DECIDE = "decide"
     STOP = "stop"
     ELSEWHERE = "elsewhere"
@@ -71,16 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """One placer that owns the cell, or thinks so.
+    """One placer that owns the cell or believes that it does.
 
     Attributes:
         read: Revision of the record that it decides on.
-        looked: What each worker reported to it; None before.
+        polled: What each worker reported to it; None before.
     """
 
     step: Step = Step.READ
     read: int = 0
-    looked: tuple[Phase | None, Phase | None] = (None, None)
+    polled: tuple[Phase | None, Phase | None] = (None, None)
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,8 +93,8 @@
         taken_over: Whether the second owner holds the cell.
         ran_first: Whether a member of the first attempt has run.
         ran_second: Whether the second owner's own attempt has run.
-        split: Whether a member ran without the other one having been held.
-        stale: Whether a worker obeyed the first owner after it saw the second.
+        ran_in_part: Whether a member ran before the other one was held.
+        stale: Whether a worker obeyed the first owner after seeing the second's epoch.
         unrecorded: Whether a member ran with no start recorded.
         said_not_run: Whether the caller was told that the job did not run.
     """
@@ -110,14 +110,14 @@
     cancel: bool = False
     ran_first: bool = False
     ran_second: bool = False
-    split: bool = False
+    ran_in_part: bool = False
     stale: bool = False
     unrecorded: bool = False
     said_not_run: bool = False
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     yield from _list_first_owner(state, rules)
     if state.taken_over:
         yield from _list_second_owner(state, rules)
@@ -131,11 +131,11 @@
             lost = _put_member(state, index, phase=Phase.STOPPED)
             yield f"worker {index} loses its task", lost
     if state.late:
-        yield "the lost write takes effect late", _land_late(state)
+        yield "the lost write takes effect late", _apply_late_write(state)
 
 
-def _land_late(state: State) -> State:
-    """A write that its sender gave up on still compares the revision."""
+def _apply_late_write(state: State) -> State:
+    """Apply a write whose sender no longer waits; it still compares the revision."""
     landed = replace(state, late=False)
     if state.revision != state.first.read:
         return landed
@@ -157,7 +157,7 @@
 def _command(
     state: State, index: int, epoch: int, phase: Phase, rules: Rules
 ) -> State | None:
-    """Return the state after a worker got a command, or None when it refused."""
+    """Return the state after a worker obeys a command, or None if it refuses."""
     member = state.members[index]
     if not _obeys(member, epoch, rules):
         return None
@@ -170,17 +170,17 @@
     return replace(
         following,
         ran_first=True,
-        split=state.split or other is Phase.NONE,
+        ran_in_part=state.ran_in_part or other is Phase.NONE,
         unrecorded=state.unrecorded or state.starter == 0,
     )
 
 
-def _first(state: State, step: Step, **changes: object) -> State:
+def _put_first(state: State, step: Step, **changes: object) -> State:
     owner = replace(state.first, step=step, **changes)  # type: ignore[arg-type]
     return replace(state, first=owner)
 
 
-def _second(state: State, step: Step, **changes: object) -> State:
+def _put_second(state: State, step: Step, **changes: object) -> State:
     owner = replace(state.second, step=step, **changes)  # type: ignore[arg-type]
     return replace(state, second=owner)
 
@@ -204,10 +204,10 @@
 
 def _read_first(state: State) -> Iterator[tuple[str, State]]:
     if state.record is Record.ACCEPTED and not state.cancel:
-        following = _first(state, Step.PREPARE, read=state.revision)
+        following = _put_first(state, Step.PREPARE, read=state.revision)
         yield "the first owner reads the job", following
     else:
-        yield from _cancel(state, state.first, "first", _first(state, Step.END))
+        yield from _cancel(state, state.first, "first", _put_first(state, Step.END))
 
 
 def _prepare(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
@@ -219,26 +219,26 @@
     held = [member.phase is Phase.HELD for member in state.members]
     whole = all(held) or (Guard.ALL_HELD_BEFORE_START not in rules and any(held))
     if whole:
-        yield "the first owner is ready to record", _first(state, Step.RECORD)
+        yield "the first owner is ready to record", _put_first(state, Step.RECORD)
     yield from _release(state, rules)
 
 
 def _release(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Give up before the start: whatever is held lapses or is stopped."""
+    """Abandon the start before it is recorded; held members lapse or are stopped."""
     following = state
     for index in (0, 1):
         if state.members[index].phase is Phase.HELD:
             stopped = _command(following, index, 1, Phase.STOPPED, rules)
             following = stopped or following
-    yield "the first owner gives the start up", _first(following, Step.END)
+    yield "the first owner abandons the start", _put_first(following, Step.END)
 
 
 def _record_start(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
     if Guard.START_RECORDED_BEFORE_GO not in rules:
-        yield "the first owner goes unrecorded", _first(state, Step.GO)
-    lost = _first(state, Step.RECORD_LOST)
+        yield "the first owner skips the record", _put_first(state, Step.GO)
+    lost = _put_first(state, Step.RECORD_LOST)
     yield "the start's write is lost, without effect", lost
-    yield "the start's write is lost on its way", replace(lost, late=True)
+    yield "the start's write is delayed", replace(lost, late=True)
     compared = Guard.START_RECORD_COMPARED in rules
     if compared and state.revision != state.first.read:
         yield from _release(state, rules)
@@ -246,14 +246,17 @@
     written = replace(
         state, record=Record.STARTED, revision=state.revision + 1, starter=1
     )
-    yield "the first owner records the start", _first(written, Step.GO)
-    yield "the start's write is lost, with effect", _first(written, Step.RECORD_LOST)
+    yield "the first owner records the start", _put_first(written, Step.GO)
+    yield (
+        "the start's write is lost, with effect",
+        _put_first(written, Step.RECORD_LOST),
+    )
 
 
 def _resolve_lost_start(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
     mine = state.record is Record.STARTED and state.starter == 1
     if mine or Guard.LOST_START_REREAD not in rules:
-        yield "the first owner takes the start as recorded", _first(state, Step.GO)
+        yield "the first owner takes the start as recorded", _put_first(state, Step.GO)
     else:
         yield from _release(state, rules)
 
@@ -263,7 +266,7 @@
         if state.members[index].phase is Phase.HELD:
             gone = _command(state, index, 1, Phase.RUNNING, rules)
             if gone:
-                yield f"the first owner lets worker {index} go", gone
+                yield f"the first owner tells worker {index} to go", gone
 
 
 # The second owner's recovery.
@@ -273,8 +276,8 @@
     step = state.second.step
     if step is Step.READ:
         yield from _read_second(state)
-    elif step is Step.LOOK:
-        yield from _look(state, rules)
+    elif step is Step.POLL:
+        yield from _poll(state, rules)
     elif step is Step.DECIDE:
         yield from _decide(state, rules)
     elif step is Step.GO:
@@ -286,14 +289,14 @@
 
 
 def _read_second(state: State) -> Iterator[tuple[str, State]]:
-    read = {"read": state.revision, "looked": (None, None)}
+    read = {"read": state.revision, "polled": (None, None)}
     if state.record is Record.STARTED:
-        yield "the second owner reads a start", _second(state, Step.LOOK, **read)
+        yield "the second owner reads a start", _put_second(state, Step.POLL, **read)
     elif state.record is Record.ACCEPTED and not state.cancel:
-        following = _second(state, Step.ELSEWHERE, **read)
+        following = _put_second(state, Step.ELSEWHERE, **read)
         yield "the second owner reads the job", following
     else:
-        yield from _cancel(state, state.second, "second", _second(state, Step.END))
+        yield from _cancel(state, state.second, "second", _put_second(state, Step.END))
 
 
 def _cancel(
@@ -314,42 +317,42 @@
         yield f"the {name} owner has nothing to do", ended
 
 
-def _look(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Ask both workers; with the rule, asking also shows them the new epoch."""
+def _poll(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
+    """Poll both workers; with the guard on, a poll also shows them the new epoch."""
     for index in (0, 1):
-        if state.second.looked[index] is not None:
+        if state.second.polled[index] is not None:
             continue
         member = state.members[index]
         shown = state
         if Guard.FENCE_BEFORE_ACTING in rules:
             shown = _put_member(state, index, seen=2)
-        looked = list(state.second.looked)
-        # A worker out of reach proves no more than one that lost its task.
-        looked[index] = Phase.STOPPED
-        unreachable = _second(state, Step.LOOK, looked=(looked[0], looked[1]))
+        polled = list(state.second.polled)
+        # An unreachable worker proves no more than one that lost its task.
+        polled[index] = Phase.STOPPED
+        unreachable = _put_second(state, Step.POLL, polled=(polled[0], polled[1]))
         yield f"the second owner cannot reach worker {index}", unreachable
-        looked[index] = member.phase
-        following = _second(shown, Step.LOOK, looked=(looked[0], looked[1]))
-        yield f"the second owner looks at worker {index}", following
-    if None not in state.second.looked:
-        yield "the second owner has looked at all", _second(state, Step.DECIDE)
+        polled[index] = member.phase
+        following = _put_second(shown, Step.POLL, polled=(polled[0], polled[1]))
+        yield f"the second owner polls worker {index}", following
+    if None not in state.second.polled:
+        yield "the second owner has polled all workers", _put_second(state, Step.DECIDE)
 
 
 def _decide(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Adopt a whole gang; end or restart one that is not whole any more."""
-    looked = state.second.looked
-    whole = all(phase in (Phase.HELD, Phase.RUNNING) for phase in looked)
+    """Adopt a whole gang; end or restart one that has lost a member."""
+    polled = state.second.polled
+    whole = all(phase in (Phase.HELD, Phase.RUNNING) for phase in polled)
     if whole and not state.cancel:
-        yield "the second owner adopts the gang", _second(state, Step.GO)
-    proved_not_run = all(phase in (Phase.HELD, Phase.NONE) for phase in looked)
+        yield "the second owner adopts the gang", _put_second(state, Step.GO)
+    proved_not_run = all(phase in (Phase.HELD, Phase.NONE) for phase in polled)
     allowed = proved_not_run or Guard.RESTART_ONLY_IF_ALLOWED not in rules
     if allowed and state.revision == state.second.read:
-        yield "the second owner starts it again", _second(state, Step.STOP)
+        yield "the second owner starts it again", _put_second(state, Step.STOP)
     if not allowed and state.revision == state.second.read:
         ended = replace(state, record=Record.UNKNOWN, revision=state.revision + 1)
-        yield "the second owner records 'unknown'", _second(ended, Step.END)
+        yield "the second owner records 'unknown'", _put_second(ended, Step.END)
     if state.revision != state.second.read:
-        yield "the second owner reads again", _second(state, Step.READ)
+        yield "the second owner reads again", _put_second(state, Step.READ)
 
 
 def _go_second(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
@@ -357,7 +360,7 @@
         if state.members[index].phase is Phase.HELD:
             gone = _command(state, index, 2, Phase.RUNNING, rules)
             if gone:
-                yield f"the second owner lets worker {index} go", gone
+                yield f"the second owner tells worker {index} to go", gone
 
 
 def _stop(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
@@ -366,12 +369,15 @@
         if state.members[index].phase in (Phase.HELD, Phase.RUNNING):
             stopped = _command(following, index, 2, Phase.STOPPED, rules)
             following = stopped or following
-    yield "the second owner stops the first attempt", _second(following, Step.ELSEWHERE)
+    yield (
+        "the second owner stops the first attempt",
+        _put_second(following, Step.ELSEWHERE),
+    )
 
 
 def _start_elsewhere(state: State) -> Iterator[tuple[str, State]]:
     if state.revision != state.second.read:
-        yield "the second owner's start is refused", _second(state, Step.READ)
+        yield "the second owner's start is refused", _put_second(state, Step.READ)
         return
     written = replace(
         state,
@@ -380,7 +386,7 @@
         starter=2,
         ran_second=True,
     )
-    yield "the second owner starts it elsewhere", _second(written, Step.END)
+    yield "the second owner starts it elsewhere", _put_second(written, Step.END)
 
 
 MODEL = Model(
@@ -391,7 +397,7 @@
         "a job that may not run twice runs once": lambda state: (
             not (state.ran_first and state.ran_second)
         ),
-        "no member runs before all are held": lambda state: not state.split,
+        "no member runs before all are held": lambda state: not state.ran_in_part,
         "no member runs without a recorded start": lambda state: not state.unrecorded,
         "a worker obeys no owner older than one it has seen": lambda state: (
             not state.stale
--- a/specification/leaving.py
+++ b/specification/leaving.py
@@ -1,13 +1,13 @@
 """A target that is leaving gets no new work after a few seconds.
 
-The VM list or the target itself may be first to say that it leaves, and the other
-one may never say so. A process of ours learns from each within one poll. A placer
+Either the VM list or the target itself may report first that it leaves, and the other
+may never report it. Our processes learn of each report within one poll. A placer
 prepares the members of a gang as soon as it has chosen their workers; an entry may
-choose a target for a request and send it much later, when a connection comes free.
-Time passes in whole ticks.
+choose a target for a request and send it much later, when a connection is free. Time
+passes in whole ticks.
 
-Left out: a sleep of a process between the last check and sending; the target's own
-refusal answers that.
+Left out: a pause of a process between the last check and sending; the target's own
+refusal covers that.
 """
 
 from collections.abc import Iterator
@@ -18,15 +18,15 @@
 
 POLL_TICKS = 2
 BOUND_TICKS = 2
-OLD = BOUND_TICKS + 1
+MAX_AGE_TICKS = BOUND_TICKS + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """The VM list, or the target's own word.
+    """The VM list, or the target's own report.
 
     Attributes:
-        age: Ticks since it said that the target leaves; -1 while it has not.
+        age: Ticks since it reported that the target leaves; -1 before.
         known: Whether the entry has read it.
     """
 
@@ -45,18 +45,18 @@
     """
 
     listed: Source = Source()
-    told: Source = Source()
+    announced: Source = Source()
     chosen: bool = False
     sent: bool = False
     sent_late: bool = False
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     yield from _list_sources(state)
     yield (
         "time passes",
-        replace(state, listed=_age(state.listed), told=_age(state.told)),
+        replace(state, listed=_age(state.listed), announced=_age(state.announced)),
     )
     yield from _list_work(state, rules)
 
@@ -67,25 +67,25 @@
     elif not state.listed.known:
         known = replace(state.listed, known=True)
         yield "the entry reads the VM list", replace(state, listed=known)
-    if state.told.age < 0:
-        yield "the target says that it leaves", replace(state, told=Source(0))
-    elif not state.told.known:
-        known = replace(state.told, known=True)
-        yield "the entry hears the target", replace(state, told=known)
+    if state.announced.age < 0:
+        yield "the target reports that it leaves", replace(state, announced=Source(0))
+    elif not state.announced.known:
+        known = replace(state.announced, known=True)
+        yield "the entry reads the target's report", replace(state, announced=known)
 
 
 def _age(source: Source) -> Source:
     if source.age < 0:
         return source
-    age = min(source.age + 1, OLD)
+    age = min(source.age + 1, MAX_AGE_TICKS)
     return Source(age, source.known or age >= POLL_TICKS)
 
 
 def _list_work(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    words = (state.listed.known, state.told.known)
-    leaving = any(words)
+    sources = (state.listed.known, state.announced.known)
+    leaving = any(sources)
     if Guard.LEAVING_FROM_EITHER_SOURCE not in rules:
-        leaving = all(words)
+        leaving = all(sources)
     if not leaving or Guard.LEAVING_EXCLUDED not in rules:
         yield "the placer prepares a gang's member", _send(state)
     if not state.chosen:
@@ -98,7 +98,7 @@
 
 
 def _send(state: State) -> State:
-    late = max(state.listed.age, state.told.age) > BOUND_TICKS
+    late = max(state.listed.age, state.announced.age) > BOUND_TICKS
     return replace(state, sent=True, sent_late=state.sent_late or late)
 
 
@@ -112,11 +112,11 @@
         ),
     },
     witnesses={
-        "work is sent to a target that leaves": lambda state: (
+        "work is sent to a leaving target": lambda state: (
             state.sent and state.listed.age > 0
         ),
-        "work goes elsewhere at the last check": lambda state: (
-            state.chosen and state.told.known
+        "the check at sending diverts work": lambda state: (
+            state.chosen and state.announced.known
         ),
     },
     guards=(
--- a/specification/moving.py
+++ b/specification/moving.py
@@ -1,12 +1,12 @@
-"""A waiting job moves to another cell, and still runs once and can be cancelled.
+"""A waiting job moves to another cell, still runs once and can be cancelled.
 
-The job's key lies under its cell, and the store changes one key at a time. Two
-owners of the old cell, one of which does not know yet that it was replaced, start
-the job there or move it; the new cell starts what it finds. A caller cancels at any
-moment, at whichever record it finds. Each step may come arbitrarily late.
+The job's key is stored under its cell, and the store changes one key at a time. Two
+owners of the old cell, one of which does not know yet that it was replaced, start the
+job there or move it; the new cell starts a record that it finds. A caller cancels at
+any moment, at whichever record it finds. Each step may come arbitrarily late.
 
-Left out: lost answers of these writes (see `gang_start` for what they do to a
-record), a second move, and how a start itself goes.
+Left out: lost answers of these writes (see `gang_start` for their effect on a record),
+a second move, and the stages of a start.
 """
 
 from collections.abc import Iterator
@@ -29,7 +29,7 @@
 
 
 class Step(Enum):
-    """What one owner of the old cell is about to do."""
+    """The next step of one owner of the old cell."""
 
     READ = "read"
     START = "start"
@@ -45,7 +45,7 @@
     Attributes:
         seen: Revision of the old record that it decided on.
         carries_cancel: Whether the record that it read asked for cancellation.
-        unrecorded: Whether it creates the new record before it says so in the old.
+        unrecorded: Whether it creates the new record before the old one names the move.
     """
 
     step: Step = Step.READ
@@ -59,19 +59,21 @@
     """Both cells' records, and the owners of the old cell.
 
     Attributes:
-        here: The record in the old cell, with its revision.
-        there: The records in the new cell, one for each id that a mover may pick.
-        cancel_here: Whether the old record asks for cancellation.
-        cancel_there: Likewise for the new ones.
-        asked: Whether the caller was told that cancellation is asked for.
-        runs: How often the job was started.
+        old_record: The record in the old cell.
+        revision: Revision of the old record.
+        new_records: The records in the new cell, one for each id that a mover may
+            choose.
+        old_cancel: Whether the old record requests cancellation.
+        new_cancels: Likewise for the new ones.
+        asked: Whether the caller was told that cancellation is requested.
+        runs: Number of times the job was started.
     """
 
-    here: Record = Record.ACCEPTED
+    old_record: Record = Record.ACCEPTED
     revision: int = 0
-    there: tuple[Record, Record] = (Record.NONE, Record.NONE)
-    cancel_here: bool = False
-    cancel_there: tuple[bool, bool] = (False, False)
+    new_records: tuple[Record, Record] = (Record.NONE, Record.NONE)
+    old_cancel: bool = False
+    new_cancels: tuple[bool, bool] = (False, False)
     asked: bool = False
     owners: tuple[Owner, Owner] = (Owner(), Owner())
     runs: int = 0
@@ -81,7 +83,7 @@
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     if state.runs >= MAX_RUNS:
         return
     for index in (0, 1):
@@ -97,12 +99,12 @@
     return replace(state, owners=(owners[0], owners[1]))
 
 
-def _write_here(state: State, here: Record) -> State:
-    return replace(state, here=here, revision=state.revision + 1)
+def _write_old_record(state: State, old_record: Record) -> State:
+    return replace(state, old_record=old_record, revision=state.revision + 1)
 
 
 def _choose_id(index: int, rules: Rules) -> int:
-    """The old record names the new id; without that each mover picks its own."""
+    """Return the new id: fixed by the old record, or each mover's own without it."""
     return 0 if Guard.MOVE_NAMES_NEW_ID in rules else index
 
 
@@ -118,28 +120,28 @@
     elif owner.seen != state.revision:
         yield f"{name}'s write is refused", _put_owner(state, index, step=Step.READ)
     elif owner.step is Step.START:
-        started = replace(_write_here(state, Record.STARTED), runs=state.runs + 1)
+        started = replace(_write_old_record(state, Record.STARTED), runs=state.runs + 1)
         yield f"{name} starts the job", _put_owner(started, index, step=Step.READ)
     elif owner.step is Step.MOVE:
-        moving = _write_here(state, Record.MOVING)
+        moving = _write_old_record(state, Record.MOVING)
         after = Step.FINISH if owner.unrecorded else Step.CREATE
         moving = _put_owner(moving, index, step=after, seen=moving.revision)
         yield f"{name} records the move", moving
     elif owner.step is Step.FINISH:
-        moved = _write_here(state, Record.MOVED)
-        yield f"{name} lets go of the job", _put_owner(moved, index, step=Step.READ)
+        moved = _write_old_record(state, Record.MOVED)
+        yield f"{name} completes the move", _put_owner(moved, index, step=Step.READ)
 
 
 def _read(state: State, index: int, rules: Rules) -> Iterator[tuple[str, State]]:
     name = f"owner {index}"
-    read = {"seen": state.revision, "carries_cancel": state.cancel_here}
-    if state.here is Record.MOVING:
+    read = {"seen": state.revision, "carries_cancel": state.old_cancel}
+    if state.old_record is Record.MOVING:
         create = _put_owner(state, index, step=Step.CREATE, unrecorded=False, **read)
-        yield f"{name} goes on with a move", create
-    if state.here is not Record.ACCEPTED:
+        yield f"{name} resumes a move", create
+    if state.old_record is not Record.ACCEPTED:
         return
-    if state.cancel_here:
-        yield f"{name} cancels the job", _write_here(state, Record.CANCELLED)
+    if state.old_cancel:
+        yield f"{name} cancels the job", _write_old_record(state, Record.CANCELLED)
         return
     start = _put_owner(state, index, step=Step.START, **read)
     yield f"{name} decides to start the job", start
@@ -147,51 +149,62 @@
     yield f"{name} decides to move the job", move
     if Guard.MOVE_RECORDED_FIRST not in rules:
         create = _put_owner(state, index, step=Step.CREATE, unrecorded=True, **read)
-        yield f"{name} moves the job unrecorded", create
+        yield f"{name} moves the job without recording it", create
 
 
 def _create(state: State, place: int, owner: Owner, rules: Rules) -> State:
-    absent = state.there[place] is Record.NONE
+    absent = state.new_records[place] is Record.NONE
     if not absent and Guard.MOVED_JOB_CREATED_ONCE in rules:
         return state
-    there = list(state.there)
-    there[place] = Record.ACCEPTED
-    cancel = list(state.cancel_there)
+    new_records = list(state.new_records)
+    new_records[place] = Record.ACCEPTED
+    cancel = list(state.new_cancels)
     cancel[place] = owner.carries_cancel
     return replace(
-        state, there=(there[0], there[1]), cancel_there=(cancel[0], cancel[1])
+        state,
+        new_records=(new_records[0], new_records[1]),
+        new_cancels=(cancel[0], cancel[1]),
     )
 
 
 def _list_new_cell(state: State, place: int) -> Iterator[tuple[str, State]]:
-    if state.there[place] is not Record.ACCEPTED:
+    if state.new_records[place] is not Record.ACCEPTED:
         return
-    there = list(state.there)
-    if state.cancel_there[place]:
-        there[place] = Record.CANCELLED
-        yield "the new cell cancels", replace(state, there=(there[0], there[1]))
+    new_records = list(state.new_records)
+    if state.new_cancels[place]:
+        new_records[place] = Record.CANCELLED
+        yield (
+            "the new cell cancels",
+            replace(state, new_records=(new_records[0], new_records[1])),
+        )
     else:
-        there[place] = Record.STARTED
-        started = replace(state, there=(there[0], there[1]), runs=state.runs + 1)
+        new_records[place] = Record.STARTED
+        started = replace(
+            state, new_records=(new_records[0], new_records[1]), runs=state.runs + 1
+        )
         yield "the new cell starts the job", started
 
 
 def _list_caller(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Cancel at the record that the old id leads to."""
-    waits = state.here is Record.MOVING and Guard.CANCEL_WAITS_FOR_MOVE in rules
-    if state.here in (Record.ACCEPTED, Record.MOVING) and not waits:
-        asked = replace(_write_here(state, state.here), cancel_here=True, asked=True)
-        yield "the caller asks for cancellation", asked
-    if state.here is Record.MOVED and state.there[0] is Record.ACCEPTED:
-        cancel = (True, state.cancel_there[1])
-        asked = replace(state, cancel_there=cancel, asked=True)
-        yield "the caller asks for cancellation in the new cell", asked
+    """Cancel at the record that the old id resolves to."""
+    waits = state.old_record is Record.MOVING and Guard.CANCEL_WAITS_FOR_MOVE in rules
+    if state.old_record in (Record.ACCEPTED, Record.MOVING) and not waits:
+        asked = replace(
+            _write_old_record(state, state.old_record), old_cancel=True, asked=True
+        )
+        yield "the caller requests cancellation", asked
+    if state.old_record is Record.MOVED and state.new_records[0] is Record.ACCEPTED:
+        cancel = (True, state.new_cancels[1])
+        asked = replace(state, new_cancels=cancel, asked=True)
+        yield "the caller requests cancellation in the new cell", asked
 
 
 def keeps_cancel(state: State) -> bool:
-    """What was asked for stands where the job now waits."""
-    waits_there = state.here is Record.MOVED and state.there[0] is Record.ACCEPTED
-    return not (state.asked and waits_there) or state.cancel_there[0]
+    """Whether the record where the job now waits has the requested cancellation."""
+    waits_there = (
+        state.old_record is Record.MOVED and state.new_records[0] is Record.ACCEPTED
+    )
+    return not (state.asked and waits_there) or state.new_cancels[0]
 
 
 MODEL = Model(
@@ -201,18 +214,20 @@
     properties={
         "a moved job is started once": lambda state: state.runs <= 1,
         "a moved job is not lost": lambda state: (
-            state.here is not Record.MOVED
-            or any(record is not Record.NONE for record in state.there)
+            state.old_record is not Record.MOVED
+            or any(record is not Record.NONE for record in state.new_records)
         ),
-        "a cancellation that was asked for is kept": keeps_cancel,
+        "a requested cancellation is kept": keeps_cancel,
     },
     witnesses={
         "the job runs in the new cell": lambda state: (
-            state.here is Record.MOVED and state.there[0] is Record.STARTED
+            state.old_record is Record.MOVED and state.new_records[0] is Record.STARTED
+        ),
+        "the job runs in the old cell": lambda state: (
+            state.old_record is Record.STARTED
         ),
-        "the job runs in the old cell": lambda state: state.here is Record.STARTED,
         "the job is cancelled in the new cell": lambda state: (
-            state.there[0] is Record.CANCELLED
+            state.new_records[0] is Record.CANCELLED
         ),
     },
     guards=(
--- a/specification/restart.py
+++ b/specification/restart.py
@@ -1,11 +1,11 @@
-"""Settings that were in force everywhere stay so while processes restart.
+"""Settings that were in force everywhere stay in force while processes restart.
 
 The store is down, three processes have the same revision in force, and each may be
-replaced at any time by one that knows nothing, all of them at once too.
+replaced at any time by one without settings, also all of them at once.
 
 Left out: a revision that was not yet in force everywhere when the store went down; a
-replaced process may then come up with the older one of its peers, and applies the
-newer one when it hears of it.
+replaced process may then start with its peers' older revision, and applies the newer
+one when a peer relays it.
 """
 
 from collections.abc import Iterator
@@ -34,7 +34,7 @@
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     if not state.store_up:
         yield "the store answers again", replace(state, store_up=True)
     for index, process in enumerate(state.processes):
--- a/specification/settings.py
+++ b/specification/settings.py
@@ -1,13 +1,13 @@
-"""An accepted setting is never undone unseen, and a process never goes back.
+"""No accepted setting is overwritten unseen, and no process applies an older one.
 
-Three operators change one path at once: one sets a value, another sets one as well,
-the third removes it; each has read the value at some time before. The store may lose
-the answer to a change before or after its effect, or let it take effect after its
-author has read again. A process lists the path and watches it, while old peers relay
-any value that was ever in force.
+Three operators change one path at once: two set a value and the third removes it; each
+has read the value at some time before. The store may lose the answer to a change
+before or after its effect, or apply the change after its author has read again. A
+process lists the path and watches it, while old peers relay any value that was ever in
+force.
 
-Left out: more paths, the checks of a value, and how a gap in a watch that breaks is
-noticed; a watch here delivers late but in order.
+Left out: more paths, validation of values, and how a gap in a broken watch is detected;
+a watch here delivers late but in order.
 """
 
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 
 
 class Step(Enum):
-    """Where one operator stands with the own change."""
+    """The state of one operator's change."""
 
     READ = "read"
     WRITE = "write"
@@ -34,9 +34,9 @@
     """One accepted change; its place in the history is the store's revision.
 
     Attributes:
-        author: Which operator made it; -1 for the value at the beginning.
+        author: Index of the operator who made it; -1 for the initial value.
         revision: The setting's own revision, rising by one.
-        removed: Whether the key was deleted, which only happens without the rule.
+        removed: Whether the key was deleted, which only happens with the guard off.
     """
 
     author: int = -1
@@ -49,7 +49,7 @@
     """One operator.
 
     Attributes:
-        seen: Length of the history that the operator read.
+        seen: Length of the history when the operator read it.
         late: Whether the lost write may still take effect.
     """
 
@@ -60,13 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """The store's history, the operators, and one process that follows.
+    """The store's history, the operators, and one process that watches it.
 
     Attributes:
-        undone: Whether a change was written over one that its author had not seen.
+        undone: Whether a change overwrote one that its author had not seen.
         listed: Length of the history when the process listed the path; 0 before.
         watched: Length of the history that the watch has delivered; 0 before.
-        applied: Place in the history of the change in force in the process.
+        applied: Position in the history of the change in force in the process.
         highest: The setting's own revision in force in the process.
         went_back: Whether the process ever applied an older change.
     """
@@ -89,7 +89,7 @@
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     for index in range(len(state.operators)):
         yield from _list_operator(state, index, rules)
     yield from _list_process(state, rules)
@@ -120,7 +120,7 @@
 
 
 def _accept(state: State, index: int, rules: Rules) -> State:
-    """Return the state after the store has got a change, accepted or not."""
+    """Return the state after a change reaches the store, accepted or not."""
     seen = state.operators[index].seen
     if Guard.CHANGE_COMPARED in rules and seen != len(state.history):
         return state
@@ -143,7 +143,7 @@
     yield f"{name}: {told.value}", _put_operator(accepted, index, step=told)
     yield f"{name}: lost", _put_operator(state, index, step=Step.LOST)
     on_its_way = _put_operator(state, index, step=Step.LOST, late=True)
-    yield f"{name}: lost on its way", on_its_way
+    yield f"{name}: delayed", on_its_way
     if done:
         with_effect = _put_operator(accepted, index, step=Step.LOST)
         yield f"{name}: lost, with effect", with_effect
@@ -152,7 +152,7 @@
 def _resolve_lost(
     state: State, index: int, rules: Rules
 ) -> Iterator[tuple[str, State]]:
-    """Read again: the own audit entry proves it done, a new revision the opposite."""
+    """Read again: an own audit entry proves it done, another revision not done."""
     name = f"operator {index}"
     if Guard.LOST_CHANGE_REREAD not in rules:
         following = _put_operator(state, index, step=Step.TOLD_NOT_DONE)
@@ -207,7 +207,7 @@
 
 
 def _is_in_force(state: State) -> bool:
-    """A process whose watch has shown all has the latest change in force."""
+    """Whether a process whose watch is up to date has the latest change in force."""
     quiet = state.watched == len(state.history)
     return not quiet or state.applied == len(state.history)
 
@@ -217,12 +217,12 @@
     initial=State(),
     steps=list_steps,
     properties={
-        "no change is undone by one that did not see it": lambda state: (
+        "no change overwrites one that its author had not seen": lambda state: (
             not state.undone
         ),
-        "a process never goes back": lambda state: not state.went_back,
+        "a process never applies an older change": lambda state: not state.went_back,
         "an accepted change comes into force": _is_in_force,
-        "an operator is told the truth": _is_told_truth,
+        "an operator is told the true outcome": _is_told_truth,
     },
     witnesses={
         "three changes are accepted": lambda state: len(state.history) == 4,
--- a/specification/submission.py
+++ b/specification/submission.py
@@ -1,13 +1,12 @@
 """A submitted gang job is stored once, and the caller is told the truth about it.
 
-The same submission reaches two entries, as when a caller tries again. Each writes a
-claim on the request id that fixes the job's id, then the job's record under that id.
-The store may lose an answer before or after its effect, and a lost write may take
-effect after its sender has read again: a reading that does not show the write
-proves that it has not happened yet, never that it will not.
-
-Left out: what becomes of the job (see `gang_start`), and expiry of the claim (see
-`claims`).
+The same submission reaches two entries, as when a caller retries. Each writes a claim
+on the request id that fixes the job's id, then the job's record under that id. The
+store may lose an answer before or after its effect, and a lost write may take effect
+after its sender has read again: a read without the write proves that it has not
+happened yet, but not that it never will.
+
+Left out: the job's start (see `gang_start`), and expiry of the claim (see `claims`).
 """
 
 from collections.abc import Iterator
@@ -19,7 +18,7 @@
 
 
 class Step(Enum):
-    """Where one entry stands with its call."""
+    """The state of one entry's call."""
 
     CLAIM = "claim"
     CLAIM_LOST = "claim lost"
@@ -35,13 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One entry with its call.
+    """One entry's call.
 
     Attributes:
-        job: Which of the two job ids it uses; -1 before it knows.
+        job: Index of the job id that it uses; -1 before it knows.
         claim_late: Whether a lost write of the claim may still take effect.
         create_late: Likewise for the job's record.
-        created: Whether a write of this call made a job's record.
+        created: Whether a write of this call created a job's record.
     """
 
     step: Step = Step.CLAIM
@@ -56,7 +55,7 @@
     """The claim, the job records and both calls.
 
     Attributes:
-        claimed: Which job id the claim fixes; -1 while there is none.
+        claimed: Index of the job id that the claim fixes; -1 without a claim.
         jobs: Whether each job id has a record.
     """
 
@@ -66,7 +65,7 @@
 
 
 def list_steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield all that may happen next."""
+    """Yield every possible next step."""
     for index in (0, 1):
         call = state.calls[index]
         if call.step is Step.CLAIM:
@@ -112,7 +111,7 @@
     yield f"{name} claims, or reads the claim", following
     lost = _change(state, index, step=Step.CLAIM_LOST)
     yield f"{name} claims: lost", lost
-    yield f"{name} claims: lost on its way", _change(lost, index, claim_late=True)
+    yield f"{name} claims: delayed", _change(lost, index, claim_late=True)
     lost = _change(written, index, step=Step.CLAIM_LOST)
     yield f"{name} claims: lost, with effect", lost
 
@@ -131,7 +130,7 @@
     yield f"{name}: done", _change(written, index, step=Step.TOLD_ACCEPTED)
     lost = _change(state, index, step=Step.CREATE_LOST)
     yield f"{name}: lost", lost
-    yield f"{name}: lost on its way", _change(lost, index, create_late=True)
+    yield f"{name}: delayed", _change(lost, index, create_late=True)
     lost = _change(written, index, step=Step.CREATE_LOST)
     yield f"{name}: lost, with effect", lost
 
