--- a/features/failures/answers.feature
+++ b/features/failures/answers.feature
@@ -1,12 +1,12 @@
-Feature: Answers of targets come late, crossed or cut short
+Feature: Answers of targets are late, swapped or truncated
 
-  Scenario: Targets give answers late, of other requests, or half
-    Some targets answer late, some give the answer to the request before, and
-    some end half-way. A clerk who is given another's quote would sell a parcel at
-    the wrong price without a sign that anything is amiss.
+  Scenario: Targets answer late, with another request's answer, or in part
+    Some targets answer late, some return the answer to the previous request, and
+    some truncate theirs. A clerk who receives another's quote would sell a parcel at
+    the wrong price without any error.
 
     Given 3 VMs serve requests
-    And a third of the targets each answers late, crossed, or cut short
-    When 90 previews and 30 passes are sent side by side
-    Then each caller has its own whole answer or an error that is true
-    And some answers were caught
+    And a third of the targets each answers late, swapped or truncated
+    When 90 previews and 30 passes are sent concurrently
+    Then each caller has its own whole answer or a true error
+    And some faulty answers were detected
--- a/features/failures/requests.feature
+++ b/features/failures/requests.feature
@@ -1,10 +1,9 @@
-Feature: Short requests when an entry fails
+Feature: Short requests survive failures of an entry
 
   Scenario: An entry dies while caption passes are in flight
-    An entry's VM is lost; its callers' connections are cut, and they send the
-    same ids to another entry. A pass that ran twice would bill a client twice.
-    An answer that stays "in progress" for ever would leave the caller with
-    nothing to act on.
+    An entry's VM is lost; its callers' connections break, and they retry the same
+    ids at another entry. A pass that ran twice would bill a client twice. If the
+    answer stayed "in progress" for ever, the caller could never proceed.
 
     Given 3 VMs serve requests
     When 24 caption passes are sent to one entry, which is killed once 6 of them run
@@ -12,9 +11,9 @@
     Then each pass ran at most once, and what callers were told is true
 
   Scenario: An entry is paused between its claim and its sending
-    An entry's VM is stopped for longer than its lease, just when a pass is
-    claimed or recorded as sent. Another entry answers for it meanwhile; when the
-    first goes on, it must not send what it had ready, or a client is billed twice.
+    An entry's VM is paused for longer than its lease, just when a pass is claimed
+    or recorded as dispatched. Another entry answers it meanwhile; when the first
+    resumes, it must not send the prepared request, or a client is billed twice.
 
     Given 3 VMs serve requests
     When an entry is paused while its claim is written, and a repeat ends elsewhere
--- a/features/steps/failures_answers_steps.py
+++ b/features/steps/failures_answers_steps.py
@@ -1,9 +1,9 @@
-"""Targets whose answers are late, crossed or cut short."""
+"""Targets whose answers are late, swapped or truncated."""
 
 from typing import Any
 
 from behave import given, then, when
-from failures_judge import check_told
+from failures_judge import check_request
 from failures_outages_steps import VMS
 from failures_world import World
 
@@ -15,7 +15,7 @@
 }
 
 
-@given("a third of the targets each answers late, crossed, or cut short")
+@given("a third of the targets each answers late, swapped or truncated")
 def set_faults(context: Any) -> None:
     deployment = context.world.deployment
     faults = {
@@ -25,7 +25,7 @@
     deployment.workers.set_faults(workers=faults)
 
 
-@when("{previews:d} previews and {passes:d} passes are sent side by side")
+@when("{previews:d} previews and {passes:d} passes are sent concurrently")
 def send_many(context: Any, previews: int, passes: int) -> None:
     world: World = context.world
     context.previews = [f"preview-{number}" for number in range(previews)]
@@ -36,7 +36,7 @@
     world.finish_asking()
 
 
-@then("each caller has its own whole answer or an error that is true")
+@then("each caller has its own whole answer or a true error")
 def check_answers(context: Any) -> None:
     world: World = context.world
     for each in context.previews:
@@ -47,10 +47,10 @@
         elif reply.not_run:
             assert world.read_requests(each) == [], (each, reply)
     for each in context.passes:
-        check_told(world, each)
+        check_request(world, each)
 
 
-@then("some answers were caught")
+@then("some faulty answers were detected")
 def check_caught(context: Any) -> None:
     world: World = context.world
     ids = (*context.previews, *context.passes)
--- a/features/steps/failures_gangs_steps.py
+++ b/features/steps/failures_gangs_steps.py
@@ -15,7 +15,7 @@
 GANG_SIZE = 16
 GANG_SECONDS = 2.0
 POLL_SECONDS = 0.005
-RECORD_SECONDS = 0.8
+SLOW_RECORD_SECONDS = 0.8
 BOUND_SECONDS = 60.0
 
 
@@ -55,7 +55,7 @@
 
 
 @when("gangs are submitted and the owner is killed after each count of starts")
-def kill_owner_again(context: Any) -> None:
+def kill_owners(context: Any) -> None:
     world: World = context.world
     for row in context.table:
         known = count_starts(world, 0)
@@ -80,7 +80,7 @@
     runs = world.read_runs("")
     for request_id, state in states.items():
         if state == "unknown" and request_id.startswith("once-"):
-            # It may not be run again, so whoever submitted it is told.
+            # It may not be run again, so its caller is told "unknown".
             continue
         assert state == "finished", (request_id, state, runs[request_id])
         check_gang(runs[request_id], GANG_SIZE)
@@ -121,15 +121,15 @@
     world.wait_until(are_taken_over)
 
 
-@when("it goes on and more gangs are submitted")
-def wake_owner(context: Any) -> None:
+@when("it resumes and more gangs are submitted")
+def resume_owner(context: Any) -> None:
     world: World = context.world
     sending = world.callers.submit(submit_wave, world, "after", "vm-1")
     world.send_signal(context.paused, "placer", signal.SIGCONT)
     sending.result()
 
 
-@then("on each worker the epochs of what started only rise")
+@then("on each worker the epochs of started tasks never fall")
 def check_epochs(context: Any) -> None:
     started = defaultdict(list)
     for run in context.world.deployment.workers.read_ledger().tasks:
@@ -148,7 +148,7 @@
 
 
 def list_held(world: World) -> list[str]:
-    """Return the workers that hold a task which may not run yet."""
+    """Return the workers that hold a task not yet told to go."""
     held = []
     for worker in world.deployment.settings.fleet.workers:
         url = f"http://{worker.address}/control/report"
@@ -166,10 +166,10 @@
 def kill_between_goes(context: Any) -> None:
     world: World = context.world
     owners = find_owners(world)
-    # While the store takes its time over the record of the start, both members
-    # are held and neither has been told to go.
+    # While the store is slow to record the start, both members are held and neither
+    # has been told to go.
     store = world.deployment.store
-    store.set_faults(store={"slow_seconds": RECORD_SECONDS})
+    store.set_faults(store={"slow_seconds": SLOW_RECORD_SECONDS})
     world.submit("vm-1", "halved", "wide", GANG_SECONDS)
     world.wait_until(lambda: len(list_held(world)) == 2 or count_starts(world, 0) > 0)
     held = list_held(world)
--- a/features/steps/failures_judge.py
+++ b/features/steps/failures_judge.py
@@ -1,4 +1,4 @@
-"""Compares what callers were told with what the workers' ledger shows."""
+"""Compare the replies to callers with the workers' ledger."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 from primrosestile_standin.ledger import TaskRun
 
-# A busy machine runs a worker's timers and a placer's rounds late.
+# On a busy machine a worker's timers and a placer's rounds run late.
 ALLOWANCE_SECONDS = 2.0
 
 
@@ -21,7 +21,7 @@
     return attempts
 
 
-def check_told(world: World, request_id: str) -> None:
+def check_request(world: World, request_id: str) -> None:
     """Check that a request ran at most once, and not before a "not run"."""
     runs = world.read_requests(request_id)
     assert len(runs) <= 1, runs
@@ -36,7 +36,7 @@
 def check_gang(
     runs: list[TaskRun], size: int, part_bound: float = TASK_LEASE_SECONDS
 ) -> None:
-    """Check that a finished gang ran whole, and to its end exactly once."""
+    """Check that a finished gang ran whole, and finished exactly once."""
     attempts = group_attempts(runs)
     finished = [members for members in attempts.values() if is_finished(members)]
     assert len(finished) == 1, runs
--- a/features/steps/failures_operations_steps.py
+++ b/features/steps/failures_operations_steps.py
@@ -1,4 +1,4 @@
-"""Rolling restarts, racing operators, and waves of cancellations."""
+"""Rolling restarts, racing operators and mass cancellations."""
 
 import subprocess
 import threading
@@ -15,7 +15,7 @@
 LOAD_CALLERS = 6
 CAPTION_EVERY = 20
 EXIT_BOUND_SECONDS = 60.0
-FIRST_LIMIT = 1000
+INITIAL_QUEUE_LIMIT = 1000
 RAISED_COUNT = 8
 RAISED = ("producers", "planetaria")
 CANCEL_SECONDS = 30.0
@@ -24,14 +24,14 @@
 
 
 class Balancer:
-    """Sends callers to entries that were ready when it last looked."""
+    """Routes callers to entries that were ready at its last poll."""
 
     def __init__(self, world: World) -> None:
         self.replies: list[tuple[str, Any]] = []
         self._world = world
         self._ready = list(VMS)
         self._ended = threading.Event()
-        self._threads = [threading.Thread(target=self._look)]
+        self._threads = [threading.Thread(target=self._poll)]
         self._threads += [
             threading.Thread(target=self._send, args=(number,))
             for number in range(LOAD_CALLERS)
@@ -39,7 +39,7 @@
         for each in self._threads:
             each.start()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         while not self._ended.wait(BALANCER_SECONDS):
             replies = {vm: self._world.call(vm, "GET", "/readyz") for vm in VMS}
             self._ready = [
@@ -69,7 +69,7 @@
     context.cleanups.append(context.balancer.end)
 
 
-@when("each VM in turn is told to end and is replaced")
+@when("each VM in turn is shut down and replaced")
 def roll(context: Any) -> None:
     world: World = context.world
     context.exits = {}
@@ -84,25 +84,25 @@
                 code = None
             context.exits[program.name] = code
             if code != 0:
-                # Restarted, it writes over its log; the cause stands there only now.
+                # The restart overwrites the log, so the cause is read now.
                 context.bad_ends[program.name] = program.read_log_tail()
             restart(world, name, kind)
         world.deployment.workers.set_faults(vms={name: False})
         for program in world.deployment.vms[name].programs.values():
             world.wait_until(partial(is_ready, program))
         world.wait_for_owners()
-        # The balancer has to see the new entry before the next one goes.
+        # The balancer must see the new entry before the next one is shut down.
         time.sleep(2 * BALANCER_SECONDS)
     context.balancer.end()
 
 
-@then("each program ended well")
+@then("each program exited with code 0")
 def check_exits(context: Any) -> None:
     shown = "\n".join(f"{name}:\n{log}" for name, log in context.bad_ends.items())
     assert set(context.exits.values()) == {0}, f"{context.exits}\n{shown}"
 
 
-@then("no request was cut off or refused")
+@then("no request was interrupted or refused")
 def check_replies(context: Any) -> None:
     assert context.balancer.replies
     wrong = [
@@ -130,7 +130,7 @@
 
 
 def check_one_won(replies: list[Any]) -> Any:
-    """Check that one change was accepted and the other not; return the other."""
+    """Check that one change was accepted and the other refused; return the other."""
     won = [each for each in replies if each is not None and each.status == 200]
     lost = [each for each in replies if each is not None and each.status == 409]
     assert (len(won), len(lost)) == (1, 1), replies
@@ -148,7 +148,7 @@
     for number in range(times):
         value = world.read_setting("vm-1", "policy")["value"]
         values = [
-            {**value, "queue_limit": FIRST_LIMIT + 10 * number + operator}
+            {**value, "queue_limit": INITIAL_QUEUE_LIMIT + 10 * number + operator}
             for operator in range(2)
         ]
         replies = send_together(world, "policy", values)
@@ -229,7 +229,7 @@
 
 
 def cancel_at_once(world: World, request_id: str, vm: str) -> None:
-    """Submit a job at one entry and cancel it at another until that is taken."""
+    """Submit a job at one entry and cancel it at another until that is accepted."""
     world.submit("vm-1", request_id, "small", CANCEL_SECONDS)
     end = time.monotonic() + CANCEL_BOUND_SECONDS
     while True:
@@ -240,7 +240,7 @@
         time.sleep(PAUSE_SECONDS)
 
 
-@then("all of them end as cancelled and the workers run nothing of them")
+@then("all of them end as cancelled and none of them runs to its end")
 def check_cancelled(context: Any) -> None:
     world: World = context.world
     states = world.wait_for_ends("vm-2", context.cancelled)
--- a/features/steps/failures_outages_steps.py
+++ b/features/steps/failures_outages_steps.py
@@ -1,11 +1,11 @@
-"""The store is down while real processes serve."""
+"""An outage of the store while real processes serve."""
 
 import signal
 import time
 from typing import Any
 
 from behave import given, then, when
-from failures_judge import check_gang, check_told, group_attempts
+from failures_judge import check_gang, check_request, group_attempts
 from failures_requests_steps import wait_for_runs
 from failures_world import TASK_LEASE_SECONDS, World
 from path_steps import TEAM
@@ -90,8 +90,7 @@
 
 
 @then(
-    "every first caption pass and every job was refused as not run, "
-    "with when to come back"
+    "every first caption pass and every job was refused as not run, with a retry time"
 )
 def check_refused(context: Any) -> None:
     for reply in (*context.refused, *context.jobs):
@@ -125,11 +124,11 @@
 def check_repeats(context: Any) -> None:
     world: World = context.world
     for each in context.running:
-        assert world.ask_to_the_end("vm-2", "caption", each).status == 200
-        check_told(world, each)
+        assert world.ask_until_final("vm-2", "caption", each).status == 200
+        check_request(world, each)
     repeated = "refused-1"
-    assert world.ask_to_the_end("vm-3", "caption", repeated).status == 200
-    check_told(world, repeated)
+    assert world.ask_until_final("vm-3", "caption", repeated).status == 200
+    check_request(world, repeated)
     assert not world.read_runs("refused-")
     refused = [each for each in world.replies if each.startswith("refused-")]
     for each in refused:
@@ -147,7 +146,7 @@
     time.sleep(LEASES * TASK_LEASE_SECONDS)
 
 
-@then("the gangs that ran have ended or go on, and nothing new has started")
+@then("the gangs that ran have ended or still run, and nothing new has started")
 def check_in_outage(context: Any) -> None:
     runs = context.world.read_runs("")
     assert sum(len(each) for each in runs.values()) == context.started, runs
--- a/features/steps/failures_requests_steps.py
+++ b/features/steps/failures_requests_steps.py
@@ -7,17 +7,17 @@
 from typing import Any
 
 from behave import given, then, when
-from failures_judge import check_told
+from failures_judge import check_request
 from failures_world import World, start_world
 from tools.launch import call_json
 
 SLOW_SECONDS = 0.8
 POLL_SECONDS = 0.005
-READ_SECONDS = 0.02
-READ_LIMIT = 500
+READ_INTERVAL_SECONDS = 0.02
+MAX_READS = 500
 BOUND_SECONDS = 60.0
-# Each of these callers takes "not run" as the end and asks no more.
-GIVES_UP_EVERY = 3
+# One caller in so many accepts "not run" as final and does not retry.
+ACCEPTS_NOT_RUN_EVERY = 3
 
 
 @given("{vms:d} VMs serve requests")
@@ -31,7 +31,7 @@
 
 
 def wait_for_runs(world: World, prefix: str, count: int) -> None:
-    """Wait closely until so many requests have started to run."""
+    """Poll at short intervals until so many requests have started to run."""
     end = time.monotonic() + BOUND_SECONDS
     while True:
         ledger = world.deployment.workers.read_ledger()
@@ -62,11 +62,11 @@
     assert cut, "the entry was killed after its last answer"
     repeats = [
         world.callers.submit(
-            world.ask_to_the_end,
+            world.ask_until_final,
             "vm-2",
             "caption",
             each,
-            gives_up=number % GIVES_UP_EVERY == 0,
+            accepts_not_run=number % ACCEPTS_NOT_RUN_EVERY == 0,
         )
         for number, each in enumerate(context.passes)
     ]
@@ -78,7 +78,7 @@
 def check_passes(context: Any) -> None:
     world: World = context.world
     for each in context.passes:
-        check_told(world, each)
+        check_request(world, each)
         last = world.replies[each][-1]
         assert last is not None
         if last.not_run:
@@ -106,11 +106,11 @@
     world: World = context.world
     world.deployment.store.set_faults(store={"slow_seconds": SLOW_SECONDS})
     world.start_asking("vm-1", "caption", ["paused-dispatch"])
-    # Reads overlap, since each of them is as slow as the write that it looks for.
-    for _ in range(READ_LIMIT):
+    # Reads overlap, since each of them is as slow as the write that it waits for.
+    for _ in range(MAX_READS):
         reading = world.callers.submit(read_claim, world, "paused-dispatch")
         context.reads = [*getattr(context, "reads", []), reading]
-        time.sleep(READ_SECONDS)
+        time.sleep(READ_INTERVAL_SECONDS)
         if any(each.done() and each.result() == "claimed" for each in context.reads):
             break
     else:
@@ -131,15 +131,15 @@
 
 
 def finish_elsewhere(world: World, request_id: str) -> None:
-    """Pause the first entry until its lease has lapsed and a repeat has its end."""
+    """Pause the first entry until a repeat at another has its final answer."""
     world.send_signal("vm-1", "entry", signal.SIGSTOP)
     world.deployment.store.set_faults(store={"slow_seconds": 0.0})
-    # Its write is still on its way, and the repeat must not come before it.
+    # Its write is still in flight, and the repeat must not be sent before it lands.
     world.wait_until(lambda: bool(read_claim(world, request_id)))
-    world.ask_to_the_end("vm-2", "caption", request_id)
+    world.ask_until_final("vm-2", "caption", request_id)
     world.send_signal("vm-1", "entry", signal.SIGCONT)
     world.finish_asking()
-    # Whatever the first entry does yet, it does by now: another pass through it
-    # is answered after it.
-    reply = world.ask_to_the_end("vm-1", "caption", f"after-{request_id}")
+    # The first entry has finished its pending work once it has answered another pass
+    # that was sent later.
+    reply = world.ask_until_final("vm-1", "caption", f"after-{request_id}")
     assert reply.status == 200, reply
--- a/features/steps/failures_storefaults_steps.py
+++ b/features/steps/failures_storefaults_steps.py
@@ -1,4 +1,4 @@
-"""A store that loses answers or is slow, and connections that fall silent."""
+"""A store that loses answers or is slow, and connections that go silent."""
 
 import threading
 import time
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 from failures_gangs_steps import GANG_SIZE, submit_wave
-from failures_judge import check_gang, check_told, group_attempts
+from failures_judge import check_gang, check_request, group_attempts
 from failures_outages_steps import VMS
 from failures_requests_steps import SLOW_SECONDS
 from failures_world import World
@@ -16,13 +16,13 @@
 JOBS = 5
 PASSES = 10
 CHANGES = 8
-FIRST_LIMIT = 1000
+INITIAL_QUEUE_LIMIT = 1000
 PREVIEWS = 5
 GANG_SECONDS = 1.0
 
 
-class Loser:
-    """Lets the store lose the answer of one write after the other."""
+class AnswerDropper:
+    """Makes the store drop the answer to one write after the other."""
 
     def __init__(self, store: Switches) -> None:
         self._store = store
@@ -40,10 +40,10 @@
         self._thread.join()
 
 
-@given("answers of the store are lost again and again")
-def start_losing(context: Any) -> None:
-    context.loser = Loser(context.world.deployment.store)
-    context.cleanups.append(context.loser.end)
+@given("answers of the store are lost repeatedly")
+def start_dropping(context: Any) -> None:
+    context.answer_dropper = AnswerDropper(context.world.deployment.store)
+    context.cleanups.append(context.answer_dropper.end)
 
 
 @when(
@@ -61,7 +61,7 @@
             sent.append((request_id, sending))
     context.passes = [f"between-{number}" for number in range(PASSES)]
     passes = [
-        world.callers.submit(world.ask_to_the_end, VMS[number % 3], "caption", each)
+        world.callers.submit(world.ask_until_final, VMS[number % 3], "caption", each)
         for number, each in enumerate(context.passes)
     ]
     change_often(context)
@@ -70,20 +70,22 @@
     ]
     for each in passes:
         each.result()
-    context.loser.end()
+    context.answer_dropper.end()
 
 
 def change_often(context: Any) -> None:
-    """Change one path again and again; one lost answer is settled by reading."""
+    """Change one path repeatedly; the next read settles a lost answer."""
     world: World = context.world
     context.accepted = []
     for number in range(CHANGES):
         vm = VMS[number % 3]
         shown = world.read_setting(vm, "policy")
-        value = {**shown["value"], "queue_limit": FIRST_LIMIT + number}
+        value = {**shown["value"], "queue_limit": INITIAL_QUEUE_LIMIT + number}
         reply = world.change_setting(vm, "policy", shown["revision"], value)
         if reply is not None and reply.status == 200:
-            context.accepted.append((reply.fields["revision"], FIRST_LIMIT + number))
+            context.accepted.append(
+                (reply.fields["revision"], INITIAL_QUEUE_LIMIT + number)
+            )
         context.seen.append(world.read_applied())
     assert context.accepted
 
@@ -102,10 +104,10 @@
 @then("each pass between ran at most once, and what callers were told is true")
 def check_passes_between(context: Any) -> None:
     for each in context.passes:
-        check_told(context.world, each)
+        check_request(context.world, each)
 
 
-@then("every process has the last accepted change, and none went back")
+@then("every process has the last accepted change, and none applied an older one")
 def check_settings(context: Any) -> None:
     world: World = context.world
     shown = world.read_setting("vm-1", "policy")
@@ -182,9 +184,9 @@
 
 
 @when("all open connections to the workers and the store go silent")
-def silence(context: Any) -> None:
+def silence_connections(context: Any) -> None:
     deployment = context.world.deployment
-    # While the fault is on, each further order would silence new connections too.
+    # While the fault is on, each further fault request would silence new connections.
     for silent in (True, False):
         deployment.workers.set_faults(workers={"*": {"silent": silent}})
         deployment.store.set_faults(store={"silent": silent})
@@ -194,7 +196,7 @@
 def check_change(context: Any) -> None:
     world: World = context.world
     shown = world.read_setting("vm-2", "policy")
-    value = {**shown["value"], "queue_limit": FIRST_LIMIT}
+    value = {**shown["value"], "queue_limit": INITIAL_QUEUE_LIMIT}
     reply = world.change_setting("vm-2", "policy", shown["revision"], value)
     assert reply is not None
     assert reply.status == 200, reply
--- a/features/steps/failures_workers_steps.py
+++ b/features/steps/failures_workers_steps.py
@@ -1,4 +1,4 @@
-"""Workers that fail every task, that leave, or that are cut off."""
+"""Workers that fail every task, leave or are partitioned."""
 
 import threading
 import time
@@ -75,11 +75,11 @@
     world.wait_until(lambda: len(world.read_runs("")) == 2)
     runs = world.read_runs("")
     context.listed = runs["wide-job"][0].worker
-    context.telling = runs["small-job"][0].worker
+    context.announcing = runs["small-job"][0].worker
 
 
-class Load:
-    """Callers that send previews one after the other until they are told to end."""
+class PreviewLoad:
+    """Callers that send previews one after the other until `end` is called."""
 
     def __init__(self, world: World) -> None:
         self.replies: list[Any] = []
@@ -103,17 +103,17 @@
             each.result()
 
 
-@when("the VM list shows the one as leaving and the other says so, under load")
+@when("the VM list reports one as leaving and the other reports it itself, under load")
 def leave(context: Any) -> None:
     world: World = context.world
     workers = world.deployment.workers
-    context.load = Load(world)
+    context.load = PreviewLoad(world)
     wait_for_work(world, context.listed)
-    wait_for_work(world, context.telling)
+    wait_for_work(world, context.announcing)
     context.left_at = time.monotonic()
     workers.set_faults(vms={context.listed: True})
-    # The list shows the second one only long after the scenario.
-    workers.set_faults(lag_seconds=NEVER_SECONDS, leave=[context.telling])
+    # The list reports the second one only long after the scenario.
+    workers.set_faults(lag_seconds=NEVER_SECONDS, leave=[context.announcing])
     end = time.monotonic() + LOAD_SECONDS
     number = 0
     while time.monotonic() < end:
@@ -124,7 +124,7 @@
 
 
 def wait_for_work(world: World, worker: str) -> None:
-    """Wait until a worker has run a request, so that its getting none says much."""
+    """Wait until a worker has run a request; otherwise getting none proves little."""
     ledger = world.deployment.workers.read_ledger
     world.wait_until(lambda: any(run.worker == worker for run in ledger().requests))
 
@@ -134,11 +134,11 @@
     ledger = context.world.deployment.workers.read_ledger()
     latest = context.left_at + LEAVING_BOUND_SECONDS + LISTED_LAG_SECONDS
     for run in (*ledger.requests, *ledger.tasks):
-        if run.worker in (context.listed, context.telling):
+        if run.worker in (context.listed, context.announcing):
             assert run.start <= latest, (run, context.left_at)
 
 
-@then("what ran there has finished there or elsewhere, and every preview was answered")
+@then("the jobs there have finished there or elsewhere, and every preview was answered")
 def check_moved(context: Any) -> None:
     world: World = context.world
     states = world.wait_for_ends("vm-1", list(world.jobs))
@@ -150,7 +150,7 @@
         assert reply.status == 200, reply
 
 
-@when("all workers of the failure domain where they run are cut off")
+@when("all workers of the failure domain where they run are partitioned")
 def cut_off(context: Any) -> None:
     world: World = context.world
     domain = context.listed.split("-")[0]
--- a/features/steps/failures_world.py
+++ b/features/steps/failures_world.py
@@ -1,7 +1,7 @@
-"""A small deployment for the failure scenarios, and callers who don't give up.
+"""A small deployment for the failure scenarios, and callers that retry.
 
-Work is short, leases are short, and a caller asks again under the same id, as the
-users' callers do. What really ran is read from the workers' ledger only.
+Work and leases are short, and a caller retries under the same id, as the users'
+callers do. The actual runs are read from the workers' ledger only.
 """
 
 import http.client
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """What an entry or a steward said."""
+    """The answer of an entry, a steward or a placer."""
 
     status: int
     body: bytes
@@ -97,11 +97,11 @@
 
 @dataclass
 class World:
-    """One deployment, its keys, and what callers have done in a scenario."""
+    """One deployment, its tokens, and the jobs and replies of a scenario's callers."""
 
     deployment: Deployment
     tokens: dict[str, str]
-    operator: str
+    operator_token: str
     callers: ThreadPoolExecutor
     teams: dict[str, str] = field(default_factory=dict)
     sizes: dict[str, int] = field(default_factory=dict)
@@ -124,14 +124,14 @@
         team: str = TEAM,
         **headers: str,
     ) -> Reply | None:
-        """Send one call; None when the connection was refused or cut."""
+        """Send one call; None when the connection was refused or broke."""
         settings = self.find(vm, kind).settings
         assert settings is not None
         data = None if body is None else json.dumps(body).encode()
         request = urllib.request.Request(
             f"http://{settings.http}{path}", data=data, method=method
         )
-        token = self.tokens[team] if kind == "entry" else self.operator
+        token = self.tokens[team] if kind == "entry" else self.operator_token
         request.add_header("Authorization", f"Bearer {token}")
         for name, value in headers.items():
             request.add_header(name.replace("_", "-"), value)
@@ -146,7 +146,7 @@
     def ask(
         self, vm: str, name: str, request_id: str, attempt: int = 0, **fields: Any
     ) -> Reply | None:
-        """Send a short request once, and remember what was said."""
+        """Send a short request once, and record its reply."""
         body = {"team": TEAM, "class": name, "body": request_id, **fields}
         headers = {"X_Request_Id": request_id, "X_Attempt": str(attempt)}
         reply = self.call(vm, "POST", "/v1/requests", body, **headers)
@@ -162,14 +162,14 @@
         team: str = TEAM,
         size: int = 0,
     ) -> Reply:
-        """Submit a job again and again until it is accepted.
+        """Submit a job and retry until it is accepted.
 
         Args:
-            vm: Whose entry is asked.
-            request_id: Also the payload, by which the ledger shows its runs.
+            vm: VM of the entry.
+            request_id: Also the payload, by which its runs are found in the ledger.
             name: Of the job class.
-            seconds: How long it runs.
-            team: Whose it is.
+            seconds: Run time of the job.
+            team: Team of the job.
             size: Accelerators in one rack; 0 leaves the shape to the class.
         """
         body: dict[str, Any] = {"team": team, "class": name}
@@ -191,7 +191,7 @@
             time.sleep(PAUSE_SECONDS)
 
     def start_asking(self, vm: str, name: str, request_ids: Iterable[str]) -> None:
-        """Send requests side by side without waiting for their answers."""
+        """Send requests concurrently without waiting for their answers."""
         for request_id in request_ids:
             sending = self.callers.submit(self.ask, vm, name, request_id, 1)
             self.pending.append(sending)
@@ -202,21 +202,21 @@
             sending.result(timeout=BOUND_SECONDS)
         self.pending.clear()
 
-    def ask_to_the_end(
-        self, vm: str, name: str, request_id: str, *, gives_up: bool = False
+    def ask_until_final(
+        self, vm: str, name: str, request_id: str, *, accepts_not_run: bool = False
     ) -> Reply:
-        """Ask again under the same id until the answer is final.
+        """Retry under the same id until the answer is final.
 
         Args:
-            vm: Whose entry is asked.
+            vm: VM of the entry.
             name: Of the job class.
-            request_id: The same at each sending.
-            gives_up: Whether "not run" is final to this caller.
+            request_id: The same for each attempt.
+            accepts_not_run: Whether "not run" is final for this caller.
         """
         end = time.monotonic() + BOUND_SECONDS
         while True:
             reply = self.ask(vm, name, request_id, attempt=2)
-            ends = gives_up and reply is not None and reply.not_run
+            ends = accepts_not_run and reply is not None and reply.not_run
             if reply is not None and (ends or is_final(reply)):
                 return reply
             assert time.monotonic() < end, (request_id, reply)
@@ -258,7 +258,7 @@
         self.wait_until(is_applied)
 
     def read_job(self, vm: str, request_id: str) -> Any:
-        """Return a job's record, in the cell where it stands by now."""
+        """Return a job's record from the cell where it is now."""
         job_id = self.jobs[request_id]
         while True:
             team = self.teams[request_id]
@@ -271,7 +271,7 @@
             job_id = record["moved_to"]
 
     def wait_for_ends(self, vm: str, request_ids: Iterable[str]) -> dict[str, str]:
-        """Wait until each job has its end; return the states."""
+        """Wait until each job has a final state; return the states."""
         states: dict[str, str] = {}
         for each in request_ids:
 
@@ -330,7 +330,7 @@
 
 
 def is_final(reply: Reply) -> bool:
-    """Return whether asking again would change nothing."""
+    """Return whether a retry would get the same answer."""
     if reply.status == 200:
         return True
     return reply.fields["retry_after"] is None
@@ -375,6 +375,6 @@
 
 
 def restart(world: World, vm: str, kind: str) -> None:
-    """Start a program anew that has ended."""
+    """Restart a program that has exited."""
     found: Vm = world.deployment.vms[vm]
     world.deployment.start_program(found, kind)
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -14,6 +14,6 @@
     context.soak, context.wrong = run_seed(seed, seconds, context.folder)
 
 
-@then("nothing was lost, nothing ran twice and what was refused did not run")
+@then("nothing was lost, nothing ran twice and no refused work ran")
 def step_nothing_wrong(context: Any) -> None:
     assert not context.wrong, (context.wrong, f"logs in {context.folder}")
--- a/specification/guards.py
+++ b/specification/guards.py
@@ -44,8 +44,8 @@
     )
     RESTART_AFTER_LAPSE = (
         "A gang is started again only after each earlier member is reported stopped, "
-        "or for one time to live of the lease the owner has owned the cell, the store "
-        "has answered without interruption and the gang was not seen whole."
+        "or once the owner has owned the cell, the store has answered without "
+        "interruption and the gang was not seen whole, all for one time to live."
     )
 
     # Jobs that move to another cell.
