--- a/features/doubles/fleetworld.py
+++ b/features/doubles/fleetworld.py
@@ -30,7 +30,7 @@
 from primrosestile_standin.fleetstore import FleetStore
 from primrosestile_standin.fleetvms import FleetVms
 from primrosestile_standin.fleetworker import (
-    LEASE_LONGEST_SECONDS,
+    MAX_LEASE_SECONDS,
     Fleet,
     FleetWorker,
 )
@@ -178,7 +178,7 @@
                 policies,
                 term,
                 status_retention_seconds=120.0,
-                max_lease_seconds=LEASE_LONGEST_SECONDS,
+                max_lease_seconds=MAX_LEASE_SECONDS,
                 advice=self.fleet.advice,
                 upkeep=self.vms,
             )
--- a/src/primrosestile_standin/__init__.py
+++ b/src/primrosestile_standin/__init__.py
@@ -1,4 +1,4 @@
-"""A small stand-in for the platform and the workers; for tests and the demo.
+"""A small stand-in for the platform and the workers, for tests and the demo.
 
-Never imported by the shipped package: the layers check forbids it.
+The shipped package must not import it; the layers check enforces this.
 """
--- a/src/primrosestile_standin/faults.py
+++ b/src/primrosestile_standin/faults.py
@@ -1,9 +1,8 @@
 """Faults that tests and the demo switch on while the stand-in runs.
 
-Every fault is a plain field that may be set at any moment, because the faults of
-a real platform come and go while calls are under way. The same objects are read
-by the cores in memory and by their HTTP ends, so a test means the same by a fault
-whichever of the two it uses.
+Every fault is a plain field that may be set at any time, because the faults of a
+real platform come and go while calls are in progress. The in-memory cores and their
+HTTP servers read the same objects, so a fault means the same in both kinds of test.
 """
 
 from dataclasses import dataclass
@@ -11,15 +10,15 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What is wrong with the store now.
+    """The active faults of the store.
 
     Attributes:
-        down: Every call fails without effect and every watch breaks. Leases go on
-            lapsing: the worst that an outage can do to their holders.
-        slow_seconds: How long each call takes before it has its effect.
-        lose_answers: How many of the next writes take effect unheard.
-        lose_all_answers: Every write takes effect unheard.
-        silent_watches: Watches stay open and say nothing.
+        down: Every call fails without effect and every watch breaks. Leases still
+            expire, which is the worst case of an outage for their holders.
+        slow_seconds: Delay of each call before it takes effect.
+        lose_answers: How many of the next writes take effect without an answer.
+        lose_all_answers: Every write takes effect without an answer.
+        silent_watches: Watches stay open but deliver nothing.
         silent: When set, connections that are open go silent; new ones work.
     """
 
@@ -31,7 +30,7 @@
     silent: bool = False
 
     def take_lost_answer(self) -> bool:
-        """Return whether the answer of this write is lost, counting it."""
+        """Return whether this write's answer is lost, and count it."""
         if self.lose_all_answers:
             return True
         if self.lose_answers <= 0:
@@ -42,20 +41,21 @@
 
 @dataclass(slots=True)
 class WorkerFaults:
-    """What is wrong with one worker now.
+    """The active faults of one worker.
 
     Attributes:
-        down: Connections are refused; what runs goes on until its lease lapses.
+        down: Connections are refused; running tasks continue until their lease
+            expires.
         frozen: Calls are never answered and have no effect.
-        fail_tasks: Every task fails soon after it may run.
+        fail_tasks: Every task fails soon after its start.
         fail_requests: Every request is run and reports a failure.
         refuse_requests: Every request is refused as not run.
-        lose_answers: How many of the next calls take effect unheard.
-        late_seconds: How long a finished answer is held back.
-        crossed: Answers carry the id and body of the answer before them.
+        lose_answers: How many of the next calls take effect without an answer.
+        late_seconds: Delay of a finished answer.
+        crossed: Answers carry the id and body of the previous answer.
         truncated: Answers end before their stated length.
         silent: When set, connections that are open go silent; new ones work.
-        slow_factor: How many times longer than expected a request takes.
+        slow_factor: Run time of a request as a multiple of the expected one.
     """
 
     down: bool = False
@@ -71,7 +71,7 @@
     slow_factor: float = 1.0
 
     def take_lost_answer(self) -> bool:
-        """Return whether the answer of this call is lost, counting it."""
+        """Return whether this call's answer is lost, and count it."""
         if self.lose_answers <= 0:
             return False
         self.lose_answers -= 1
--- a/src/primrosestile_standin/fleet.py
+++ b/src/primrosestile_standin/fleet.py
@@ -1,8 +1,8 @@
-"""Many workers in memory, behind the interfaces that coordination uses.
+"""In-memory workers behind the interfaces that coordination uses.
 
-A call to a frozen worker waits out its timeout, and a lost answer is lost after
-the command took effect, so a test on a paused clock meets the same failures as
-the programs meet over HTTP.
+A call to a frozen worker lasts until its timeout, and an answer is lost after the
+command took effect, so tests on a simulated clock see the same failures as the
+programs see over HTTP.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
         self._timeout = timeout
 
     async def report(self, worker: str, cell: str, epoch: int) -> WorkerReport:
-        """Return all that a worker holds."""
+        """Return the tasks that a worker holds."""
         return await self._call(worker, lambda each: each.report(epoch))
 
     async def reserve(
@@ -51,7 +51,7 @@
         await self._call(worker, lambda each: each.prepare(epoch, order))
 
     async def go(self, worker: str, cell: str, epoch: int, task_id: str) -> None:
-        """Let a held task run."""
+        """Start a prepared task."""
         await self._call(worker, lambda each: each.go(epoch, task_id))
 
     async def renew(
@@ -84,8 +84,8 @@
         await self._call(worker, lambda each: each.stop(epoch, task_id))
 
     async def _call(self, name: str, command: Callable[[MemoryWorker], T]) -> T:
-        # The call gives way once before its effect and once after it, as one over
-        # a connection does, so that callers interleave.
+        # The call yields to the loop once before its effect and once after it, as a
+        # network call does, so that callers interleave.
         await asyncio.sleep(0)
         worker = self._workers.get(name)
         if worker is None or worker.faults.down:
@@ -110,7 +110,7 @@
     async def send(
         self, target: str, order: RequestOrder, timeout: float
     ) -> RequestAnswer:
-        """Send one request and return its whole answer."""
+        """Send one request and return its complete answer."""
         await asyncio.sleep(0)
         worker = self._workers.get(target)
         if worker is None or worker.faults.down:
@@ -128,31 +128,31 @@
             ) from None
         faults = worker.faults
         if faults.crossed or faults.truncated or faults.take_lost_answer():
-            raise Failure(ErrorKind.OUTCOME_UNKNOWN, f"{target}: no whole answer")
+            raise Failure(ErrorKind.OUTCOME_UNKNOWN, f"{target}: no complete answer")
         return answer
 
 
 class MemoryVmList:
-    """Implements `protocol.workers.VmList`: shows changes only after a lag."""
+    """Implements `protocol.workers.VmList`; changes become visible after a lag."""
 
     def __init__(self, lag_seconds: float = 0.0) -> None:
         self.lag_seconds = lag_seconds
         self._shown: dict[str, bool] = {}
 
     def show(self, name: str, leaving: bool = False) -> None:
-        """Show a VM as live or leaving once the lag has passed."""
+        """List a VM as live or leaving, after the lag."""
         self._change(lambda: self._shown.__setitem__(name, leaving))
 
     def remove(self, name: str) -> None:
-        """Show a VM no more once the lag has passed."""
+        """Remove a VM from the list, after the lag."""
         self._change(lambda: self._shown.pop(name, None))
 
     async def read(self) -> tuple[ListedVm, ...]:
-        """Return the VMs that the list shows as live or leaving."""
+        """Return the listed VMs, live or leaving."""
         return self.list_vms()
 
     def list_vms(self) -> tuple[ListedVm, ...]:
-        """Return what a reader would be shown now."""
+        """Return the VMs that are listed now."""
         return tuple(ListedVm(name, left) for name, left in self._shown.items())
 
     def _change(self, change: Callable[[], object]) -> None:
--- a/src/primrosestile_standin/fleet_http.py
+++ b/src/primrosestile_standin/fleet_http.py
@@ -1,8 +1,8 @@
-"""The stand-in of the users' platform over HTTP, in the platform's own words.
+"""The stand-in of the users' platform over HTTP, in the platform's wire format.
 
-The cores in memory (`fleetstore`, `fleetworker`) do the work; this only reads and
-writes bodies. One listener serves the store, another all workers, told apart by
-the life that a call expects.
+The in-memory cores (`fleet_store`, `fleet_worker`) implement the behaviour; this
+module decodes and encodes bodies. One listener serves the store and another all
+workers, which a call selects by the incarnation that it expects.
 """
 
 import base64
@@ -38,7 +38,7 @@
 
 
 def show_entry(entry: Entry) -> dict[str, Any]:
-    """Return an entry as the store shows it."""
+    """Return an entry in the store's wire format."""
     return {
         "key": entry.key,
         "value": base64.b64encode(entry.value).decode(),
@@ -49,14 +49,14 @@
 
 
 def show_change(change: Change) -> dict[str, Any]:
-    """Return a change as a watch shows it."""
+    """Return a change in the wire format of a watch."""
     if change.entry is not None:
         return show_entry(change.entry)
     return {"key": change.key, "revision": change.revision, "deleted": True}
 
 
 class StoreEnd:
-    """The store's calls. A caller is known by its address, as faults name it."""
+    """The store's calls. Faults identify a caller by its address."""
 
     def __init__(self, store: FleetStore) -> None:
         self._store = store
@@ -73,7 +73,7 @@
         return app
 
     def _guard(self, handler: Handler) -> Handler:
-        """Answer 503 for what was refused, nothing for what was lost."""
+        """Answer 503 for a refused call; close the connection for a lost answer."""
 
         async def call(request: web.Request) -> web.StreamResponse:
             try:
@@ -110,17 +110,17 @@
         )
 
     async def _watch(self, request: web.Request) -> web.Response:
-        heard = await self._connect(request).watch_once(
+        batch = await self._connect(request).watch_once(
             request.query["prefix"],
             int(request.query["after"]),
             int(request.query["wait_ms"]) / 1000,
         )
-        if not heard.complete:
+        if not batch.complete:
             return web.Response(status=410)
         return answer(
             {
-                "events": [show_change(each) for each in heard.changes],
-                "store_revision": heard.revision,
+                "events": [show_change(each) for each in batch.changes],
+                "store_revision": batch.revision,
             }
         )
 
@@ -151,7 +151,7 @@
 
 
 class AdviceEnd:
-    """The advice service's call; it refuses while too many wait."""
+    """The advice service's call; a failure is answered with 429."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._advice = fleet.advice
@@ -172,7 +172,7 @@
 
 
 class WorkersEnd:
-    """All workers' calls on one listener."""
+    """The calls of all workers, on one listener."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -188,7 +188,7 @@
         return app
 
     def _guard(self, handler: WorkerHandler) -> Handler:
-        """Find the life that a call expects; break the connection of a lost answer."""
+        """Find the expected incarnation; close the connection on a failure."""
 
         async def call(request: web.Request) -> web.StreamResponse:
             body = msgspec.json.decode(await request.read())
--- a/src/primrosestile_standin/fleetadvice.py
+++ b/src/primrosestile_standin/fleetadvice.py
@@ -1,4 +1,4 @@
-"""The platform's advice service in memory: which workers a step may run on."""
+"""In-memory advice service of the platform: which workers a step may run on."""
 
 import asyncio
 
@@ -8,13 +8,13 @@
 
 
 class FleetAdvice:
-    """Implements `protocol.advice.AdviceCalls`; workers ask it about tickets.
+    """Implements `protocol.advice.AdviceCalls`; workers verify tickets with it.
 
     Attributes:
         allowed: Workers on which every step may run; None for all.
-        decide_seconds, per_worker_seconds, valid_seconds: As the policy says.
-        down: It answers nobody.
-        questions: The steps that were asked about, in order.
+        decide_seconds, per_worker_seconds, valid_seconds: As in the policy.
+        down: Every call fails after its delay.
+        queried_steps: The steps of all calls, in order.
     """
 
     def __init__(self) -> None:
@@ -23,17 +23,17 @@
         self.per_worker_seconds = 0.02
         self.valid_seconds = 5.0
         self.down = False
-        self.questions: list[str] = []
+        self.queried_steps: list[str] = []
         self._busy = asyncio.Lock()
         self._issued: dict[tuple[str, str], float] = {}
 
     async def ask(self, step: str, workers: tuple[str, ...], seconds: float) -> Advice:
-        """Return those of some workers on which a step may run."""
+        """Return those of `workers` on which a step may run."""
         async with self._busy:
             await asyncio.sleep(
                 self.decide_seconds + len(workers) * self.per_worker_seconds
             )
-        self.questions.append(step)
+        self.queried_steps.append(step)
         if self.down:
             raise Failure(ErrorKind.ADVICE_UNAVAILABLE, "down")
         good = [
@@ -48,7 +48,7 @@
         )
 
     def is_good(self, task: str, worker: str, ticket: str) -> bool:
-        """Whether a worker takes a start with a ticket."""
+        """Return whether a ticket is valid for a start on a worker."""
         step = task.rpartition(".")[0]
         issued = self._issued.get((step, worker))
         if issued is None or ticket != f"{step}@{worker}":
--- a/src/primrosestile_standin/fleetcalls.py
+++ b/src/primrosestile_standin/fleetcalls.py
@@ -1,7 +1,7 @@
-"""One process's calls to the platform's workers in memory, and their faults.
+"""One process's calls to the platform's in-memory workers, and their faults.
 
-They go by address, as on a network: a call for a life that has ended meets the next
-one at its address, or nobody. A process's calls share its link.
+Calls are routed by address, as on a network: a call for a dead incarnation reaches
+the next one at its address, or nothing. A process's calls share its link.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
     Attributes:
         cut_off: This process reaches no worker.
-        lost_of_ten: So many of ten calls are carried out, and not answered in time.
+        lost_of_ten: How many of ten calls take effect but are not answered in time.
     """
 
     def __init__(self, fleet: Fleet, link: Link | None = None) -> None:
@@ -47,13 +47,13 @@
         until: float | None,
         wait: float,
     ) -> PollAnswer | Refusal:
-        """Extend the lease, forget ends up to `seen`, wait for another end."""
+        """Extend the lease, acknowledge ends up to `seen`, wait for another end."""
         worker = await self._reach(entry)
         if worker is None:
             return Refusal.OTHER_INCARNATION
         if worker.faults.deaf_to_looks:
             await asyncio.sleep(TIMEOUT_SECONDS)
-            raise Failure(ErrorKind.WORKER_UNREACHABLE, "no answer to a look")
+            raise Failure(ErrorKind.WORKER_UNREACHABLE, "no answer to a poll")
         worker.sweep()
         refusal = worker.take_poll(fence, seen, until)
         if refusal is not None:
@@ -63,7 +63,7 @@
         if not worker.alive:
             if worker.faults.dark:
                 await asyncio.sleep(TIMEOUT_SECONDS)
-            raise Failure(ErrorKind.WORKER_UNREACHABLE, "the connection broke")
+            raise Failure(ErrorKind.WORKER_UNREACHABLE, "the connection was closed")
         worker.sweep()
         if self._is_cut(worker):
             raise Failure(ErrorKind.WORKER_UNREACHABLE, "cut")
@@ -80,7 +80,7 @@
     async def stop(
         self, entry: WorkerEntry, fence: int, task: str, run: int
     ) -> OrderAnswer:
-        """Stop a run, and refuse it should its start come later."""
+        """Stop a run, and block its start if that arrives later."""
         return await self._order(
             entry, lambda worker: worker.take_stop(fence, task, run)
         )
@@ -88,36 +88,36 @@
     async def pace(
         self, entry: WorkerEntry, fence: int, task: str, run: int, percent: int
     ) -> OrderAnswer:
-        """Let a run work at a share of its speed."""
+        """Limit a run's speed to a share of its full speed."""
         return await self._order(
             entry, lambda worker: worker.take_pace(fence, task, percent)
         )
 
     async def _order(
-        self, entry: WorkerEntry, carry_out: Callable[[FleetWorker], Refusal | None]
+        self, entry: WorkerEntry, execute: Callable[[FleetWorker], Refusal | None]
     ) -> OrderAnswer:
         worker = await self._reach(entry)
         if worker is None:
             return OrderAnswer(refusal=Refusal.OTHER_INCARNATION)
         if worker.faults.late_orders:
             delay = worker.faults.late_orders.pop(0)
-            asyncio.get_running_loop().call_later(delay, carry_out, worker)
+            asyncio.get_running_loop().call_later(delay, execute, worker)
             await asyncio.sleep(TIMEOUT_SECONDS)
             raise Failure(ErrorKind.WORKER_UNREACHABLE, "late")
         worker.sweep()
-        refusal = carry_out(worker)
+        refusal = execute(worker)
         if worker.faults.lose_answers:
             worker.faults.lose_answers -= 1
             raise Failure(ErrorKind.WORKER_UNREACHABLE, "lost")
         await self._carry(1)
-        return OrderAnswer(worker.tell_clock(), refusal)
+        return OrderAnswer(worker.report_clock(), refusal)
 
     async def _reach(self, entry: WorkerEntry) -> FleetWorker | None:
-        """Return the life that a call is meant for; None if another answers there."""
+        """Return the incarnation that a call addresses; None if another one answers."""
         await asyncio.sleep(ANSWER_SECONDS)
         worker = self._fleet.find_at(entry.address)
         if worker is None:
-            if self._fleet.is_dark(entry.address):
+            if self._fleet.is_unresponsive(entry.address):
                 await asyncio.sleep(TIMEOUT_SECONDS)
                 raise Failure(ErrorKind.WORKER_UNREACHABLE, "no answer")
             raise Failure(ErrorKind.NO_TARGET, f"nothing listens at {entry.address}")
--- a/src/primrosestile_standin/fleetfaults.py
+++ b/src/primrosestile_standin/fleetfaults.py
@@ -1,4 +1,4 @@
-"""What can be wrong with one of the platform's workers in memory."""
+"""Faults of one of the platform's in-memory workers."""
 
 from dataclasses import dataclass, field
 
@@ -7,27 +7,28 @@
 
 @dataclass(slots=True)
 class FleetWorkerFaults:
-    """What is wrong with one worker now.
+    """The active faults of one worker.
 
     Attributes:
-        cut: Nothing reaches it and nothing comes back; it runs on.
+        cut: A partition drops calls and answers; the worker runs on.
         fails_all: Every run on it fails at its end.
-        frozen_tasks: Its tasks stand still.
-        deaf_to_looks: Looks are not answered; orders are.
+        stalled_tasks: Its tasks make no progress.
+        ignores_polls: Polls are not answered; orders are.
         late_orders: Delays of the next orders, in seconds; none is answered.
-        lose_answers: How many of the next orders are carried out unheard.
+        lose_answers: How many of the next orders take effect without an answer.
         unhealthy: It refuses every start.
-        stop_seconds: How long a stop takes; the pages allow 0.4 s.
-        clock_jumps: Seconds by which the times in its next answers are wrong.
+        stop_seconds: Duration of a stop; the platform's pages allow 0.4 s.
+        clock_jumps: Errors of the times in its next answers, in seconds.
         number_jumps: By how much the number of the last end is too high in its next
-            looks that list one.
-        unguarded: It starts what does not fit.
-        dark: Once it has crashed, its address answers nothing; else it refuses.
+            poll answers that list one.
+        overcommits: It starts tasks that do not fit.
+        unresponsive: After a crash its address answers nothing, instead of refusing
+            connections.
     """
 
     cut: bool = False
     fails_all: bool = False
-    frozen_tasks: bool = False
+    stalled_tasks: bool = False
     deaf_to_looks: bool = False
     late_orders: list[float] = field(default_factory=list)
     lose_answers: int = 0
--- a/src/primrosestile_standin/fleetscript.py
+++ b/src/primrosestile_standin/fleetscript.py
@@ -1,4 +1,4 @@
-"""What becomes of a task wherever it runs."""
+"""The scripted behaviour of a task in the stand-in's workers."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """What becomes of a task wherever it runs.
+    """The behaviour of a task on any worker.
 
     Attributes:
-        gang: How many members its run needs; 1 for a task of its own.
+        gang: How many members its run needs; 1 for a task outside a gang.
         fails: Every run of it fails.
-        ticketed: It starts with a good ticket only.
-        serves: It lasts, and is slower the more a filling task beside it works.
-        checkpoints: A run of it goes on from where an earlier one got to.
+        ticketed: It starts only with a valid ticket.
+        serves: It is a service, which slows down with the load of other tasks on its
+            worker.
+        checkpoints: A run of it continues from an earlier one's checkpoint.
         crashes_after: Seconds from its start until it crashes its worker; None for
             never.
     """
--- a/src/primrosestile_standin/fleetstore.py
+++ b/src/primrosestile_standin/fleetstore.py
@@ -1,8 +1,8 @@
-"""The platform's store in memory, with changes that span keys, and its faults.
+"""In-memory store of the platform, with transactions over several keys, and its faults.
 
-Each process of ours connects under its name, so that the store can turn one away
-and serve the others. A write whose answer is lost may have been carried out, or
-may be carried out seconds later if its conditions still hold.
+Each of our processes connects under its name, so that a fault can hit one and spare
+the others. A write whose answer is lost may have taken effect, or may take effect
+seconds later if its conditions still hold.
 """
 
 import asyncio
@@ -27,28 +27,29 @@
 PAGE_ITEMS = 500
 PAGE_BYTES = 1_000_000
 ANSWER_SECONDS = 0.004
-# What an item of an answer holds besides its key and value.
+# Size of an item in an answer, without its key and value.
 ITEM_BYTES = 75
 
 
 @dataclass(slots=True)
 class FleetStoreFaults:
-    """What is wrong with the store now.
+    """The active faults of the store.
 
     Attributes:
-        down: Every call fails without effect; leases run on or pause.
-        hangs: No call is carried out, and none is answered.
-        leases_pause: While the store is down or hangs, leases do not run out.
-        refused: Processes that are turned away.
+        down: Every call fails without effect; leases run on, or pause.
+        hangs: No call takes effect, and none is answered.
+        leases_pause: While the store is down or hangs, leases do not expire.
+        refused: Processes whose calls are refused.
         silent: Processes whose calls are never answered.
-        lose_writes: How many of the next writes take effect unheard.
-        lose_renewals: Of so many renewals of leases one takes effect unheard; 0: none.
-        late_writes: Delays, in seconds, of the next writes; none is answered.
-        deaf_watches: Watches hear nothing.
-        unread: For a process, prefixes of which its reads and watches fail.
-        slow_seconds: Added to each call.
-        megabits: What the link carries a second on which a process gets lists.
-        stale_reads: Reads that may be old show nothing.
+        lose_writes: How many of the next writes take effect without an answer.
+        lose_renewals: One of so many lease renewals takes effect without an answer;
+            0 for none.
+        late_writes: Delays of the next writes, in seconds; none is answered.
+        silent_watches: Watches deliver no change.
+        unread: For each process, a prefix whose lists and watches fail.
+        slow_seconds: Added to the duration of each call.
+        megabits: For each process, the rate of its link for lists, in Mbit/s.
+        stale_reads: Reads that may be stale return nothing.
     """
 
     down: bool = False
@@ -73,52 +74,52 @@
 
 
 class FleetStore:
-    """What stands in the store; processes talk to it by `connect`."""
+    """The store's contents; processes call it over a client from `connect`."""
 
     def __init__(self) -> None:
         self.faults = FleetStoreFaults()
         self.calls = 0
-        # Reads and watches, by key or prefix.
+        # Counts reads and watches by key or prefix.
         self.calls_by_key: Counter[str] = Counter()
-        # Of lists, by process.
+        # Sizes of lists by process.
         self.bytes_listed: Counter[str] = Counter()
         self.revision = 1
         self._entries: SortedDict = SortedDict()
         self._history: list[Change] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._leases: dict[int, _Lease] = {}
         self._next_lease = 100
         self._paused_at = 0.0
         self._changed = asyncio.Event()
 
     def connect(self, process: str, link: Link | None = None) -> "FleetStoreClient":
-        """Return one process's way to the store, over its VM's link."""
+        """Return one process's client of the store, over its VM's link."""
         return FleetStoreClient(self, process, link or Link())
 
     def read(self, key: str) -> Entry | None:
-        """Return what stands under a key, for tests."""
+        """Return the entry of a key, for tests."""
         self.expire()
         return self._entries.get(key)
 
     def put(self, key: str, value: bytes) -> int:
-        """Write without a condition, as an operator or a worker does."""
+        """Write without conditions, as an operator or a worker does."""
         return self.apply([], [Write(key, value)], []).revision
 
     def remove(self, key: str) -> None:
-        """Remove a key, as when a worker's entry lapses."""
+        """Remove a key, as when a worker's entry expires."""
         self.apply([], [], [key])
 
     def compact(self) -> None:
-        """Drop the history; watches that go on from before must read again."""
+        """Drop the history; watches from an older revision must read again."""
         self._history.clear()
-        self._forgotten = self.revision
+        self._compacted_revision = self.revision
         self._notify()
 
     def expire(self) -> None:
-        """Remove what hangs on leases that have run out."""
+        """Remove the keys of expired leases."""
         now = read_clock()
-        away = self.faults.down or self.faults.hangs
-        if away and self.faults.leases_pause:
+        unavailable = self.faults.down or self.faults.hangs
+        if unavailable and self.faults.leases_pause:
             self._paused_at = self._paused_at or now
             return
         if self._paused_at:
@@ -138,7 +139,7 @@
         writes: Sequence[Write],
         removals: Sequence[str],
     ) -> CommitResult:
-        """Make a change if its conditions hold."""
+        """Apply a transaction if its conditions hold."""
         found = tuple(
             self._entries[each.key] for each in conditions if each.key in self._entries
         )
@@ -167,7 +168,7 @@
         return self._next_lease
 
     def keep(self, number: int) -> bool:
-        """Renew a lease."""
+        """Renew a lease; return False when it has ended."""
         lease = self._leases.get(number)
         if lease is None:
             return False
@@ -190,8 +191,8 @@
         return Page(tuple(entries), self.revision)
 
     def find_changes(self, prefix: str, after: int) -> WatchBatch:
-        """Return what changed after a revision."""
-        if after < self._forgotten:
+        """Return the changes after a revision."""
+        if after < self._compacted_revision:
             return WatchBatch((), after, complete=False)
         changes = tuple(
             change
@@ -201,7 +202,7 @@
         return WatchBatch(changes, self.revision)
 
     async def wait_for_change(self) -> None:
-        """Return once something has changed."""
+        """Return after the next change."""
         await self._changed.wait()
 
     def _notify(self) -> None:
@@ -212,7 +213,7 @@
 class FleetStoreClient:
     """Implements `protocol.transactions.TransactionalStore` for one process."""
 
-    # After this a call that is not answered is given up.
+    # Timeout of a call that is not answered.
     TIMEOUT_SECONDS = 1.0
 
     def __init__(self, store: FleetStore, process: str, link: Link) -> None:
@@ -229,7 +230,7 @@
         if not recent and self._store.faults.stale_reads:
             return None
         found = self._store.read(key)
-        await self._carry(_weigh([found]))
+        await self._carry(_measure_answer([found]))
         return found
 
     async def list(self, prefix: str, after: str = "") -> Page:
@@ -239,12 +240,12 @@
         self._check_read(prefix)
         page = self._store.read_page(prefix, after)
         seconds = find_list_timeout(self._link.rate / BYTES_PER_MEGABIT)
-        await self._carry(_weigh(page.entries), seconds=seconds)
+        await self._carry(_measure_answer(page.entries), seconds=seconds)
         await self._carry_page(page)
         return page
 
     async def _carry_page(self, page: Page) -> None:
-        """Wait until a page has come over the link, or fail as a client does."""
+        """Wait until the link has transferred a page, or fail by timeout."""
         size = sum(
             len(entry.key) + ITEM_BYTES + len(entry.value) * 4 / 3
             for entry in page.entries
@@ -268,9 +269,9 @@
         writes: Sequence[Write] = (),
         removals: Sequence[str] = (),
     ) -> CommitResult:
-        """Make a change if all of its conditions hold."""
+        """Apply a transaction if all of its conditions hold."""
         await self._enter()
-        await self._carry(sum(map(_weigh_write, writes)))
+        await self._carry(sum(map(_measure_write, writes)))
         faults = self._store.faults
         if faults.late_writes:
             delay = faults.late_writes.pop(0)
@@ -281,7 +282,7 @@
         if faults.lose_writes:
             faults.lose_writes -= 1
             raise Failure(ErrorKind.STORE_ANSWER_LOST, "lost")
-        await self._carry(_weigh(outcome.found), ErrorKind.STORE_ANSWER_LOST)
+        await self._carry(_measure_answer(outcome.found), ErrorKind.STORE_ANSWER_LOST)
         return outcome
 
     def _apply_late(
@@ -314,12 +315,12 @@
         return alive
 
     async def watch_once(self, prefix: str, after: int, seconds: float) -> WatchBatch:
-        """Return changes after a revision, as soon as there is one."""
+        """Return the changes after a revision, as soon as there is one."""
         self._store.calls_by_key[prefix] += 1
         await self._enter()
-        heard = await self._wait_for_changes(prefix, after, seconds)
-        await self._carry(_weigh([change.entry for change in heard.changes]))
-        return heard
+        batch = await self._wait_for_changes(prefix, after, seconds)
+        await self._carry(_measure_answer([change.entry for change in batch.changes]))
+        return batch
 
     async def _wait_for_changes(
         self, prefix: str, after: int, seconds: float
@@ -328,16 +329,16 @@
         while True:
             self._check()
             self._check_read(prefix)
-            heard = self._store.find_changes(prefix, after)
-            if not heard.complete:
-                return heard
-            if heard.changes and not self._store.faults.deaf_watches:
-                return heard
+            batch = self._store.find_changes(prefix, after)
+            if not batch.complete:
+                return batch
+            if batch.changes and not self._store.faults.deaf_watches:
+                return batch
             if read_clock() >= until:
                 return WatchBatch((), after)
-            await self._wait_a_little(until)
+            await self._wait_briefly(until)
 
-    async def _wait_a_little(self, until: float) -> None:
+    async def _wait_briefly(self, until: float) -> None:
         step = min(0.05, max(0.001, until - read_clock()))
         try:
             async with asyncio.timeout(step):
@@ -380,12 +381,12 @@
             raise Failure(ErrorKind.STORE_UNAVAILABLE, "refused")
 
 
-def _weigh(entries: Sequence[Entry | None]) -> float:
-    """Return how large an answer with entries is, in bytes."""
+def _measure_answer(entries: Sequence[Entry | None]) -> float:
+    """Return the size of an answer with entries, in bytes."""
     values = [entry.value for entry in entries if entry is not None]
     rows = len(entries) * ROW_BYTES
     return ANSWER_BYTES + rows + VALUE_FACTOR * sum(map(len, values))
 
 
-def _weigh_write(write: Write) -> float:
+def _measure_write(write: Write) -> float:
     return ROW_BYTES + VALUE_FACTOR * len(write.value)
--- a/src/primrosestile_standin/fleetvms.py
+++ b/src/primrosestile_standin/fleetvms.py
@@ -1,7 +1,7 @@
-"""The platform's list of VMs and its upkeep in memory.
+"""In-memory VM list and maintenance of the platform.
 
-Attributes of a fault-free platform: an order ends everything on a VM at once; another
-life of its worker is there some seconds later, under a new name.
+As on a platform without faults, an order ends everything on a VM at once, and the
+next incarnation of its worker starts some seconds later under a new name.
 """
 
 import asyncio
@@ -12,18 +12,18 @@
 from primrosestile.protocol.maintenance import MaintenanceAnswer
 from primrosestile.state.maintenance import VmState, Wave, WorkerVm
 
-UPKEEP_SECONDS = 2.0
+MAINTENANCE_SECONDS = 2.0
 
 
 class FleetVms:
-    """Implements `protocol.upkeep.UpkeepCalls`, and keeps a ledger of waves.
+    """Implements `protocol.maintenance.MaintenanceCalls`; keeps a ledger of waves.
 
     Attributes:
-        waves: What operators have asked for.
-        completed: Waves that were said to be completed, and what was missing then.
-        most_away: The most VMs that were away at one time.
-        lose_answers: How many of the next orders are carried out unheard.
-        seconds: How long an upkeep takes.
+        waves: The waves that operators have requested.
+        completed: Waves reported as completed, each with its VMs missing by then.
+        peak_unavailable: The largest number of VMs that were unavailable at once.
+        lose_answers: How many of the next orders take effect without an answer.
+        seconds: Duration of one maintenance.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self.completed: dict[int, list[str]] = {}
         self.most_away = 0
         self.lose_answers = 0
-        self.seconds = UPKEEP_SECONDS
+        self.seconds = MAINTENANCE_SECONDS
         self.orders: list[tuple[float, str, int]] = []
         self._end = end
         self._begin = begin
@@ -51,12 +51,12 @@
         return tuple(self._vms.values())
 
     async def list_waves(self) -> tuple[Wave, ...]:
-        """Return the waves that operators have asked for."""
+        """Return the waves that operators have requested."""
         await asyncio.sleep(0.004)
         return tuple(self.waves)
 
     async def begin(self, vm: str, wave: int, fence: int) -> MaintenanceAnswer:
-        """Begin one VM's upkeep."""
+        """Begin one VM's maintenance."""
         await asyncio.sleep(0.004)
         answer = self._take(vm, wave, fence)
         if self.lose_answers:
@@ -79,18 +79,20 @@
         self._done.add((wave, name))
         self._end(vm.worker)
         self._vms[name] = WorkerVm(name, vm.pool, VmState.MAINTENANCE, "")
-        away = [each for each in self._vms.values() if each.state is not VmState.UP]
-        self.most_away = max(self.most_away, len(away))
+        unavailable = [
+            each for each in self._vms.values() if each.state is not VmState.UP
+        ]
+        self.most_away = max(self.most_away, len(unavailable))
         loop = asyncio.get_running_loop()
         loop.call_later(self.seconds, self._return, name, f"{vm.worker}+")
         return MaintenanceAnswer.BEGUN
 
     def has_begun(self, name: str, wave: int) -> bool:
-        """Whether a VM's upkeep has begun in a wave."""
+        """Return whether a VM's maintenance has begun in a wave."""
         return (wave, name) in self._done
 
     def replace(self, name: str) -> None:
-        """Let a VM's worker die and come back as another life."""
+        """End a VM's worker and start its next incarnation."""
         worker = self._vms[name].worker
         self._end(worker)
         self._return(name, f"{worker}-")
@@ -101,7 +103,7 @@
         self._vms[name] = WorkerVm(name, vm.pool, VmState.UP, worker)
 
     async def report(self, wave: int, completed: bool, fence: int) -> bool:
-        """Take in how a wave stands."""
+        """Receive the status of a wave."""
         await asyncio.sleep(0.004)
         if completed:
             wanted = next(each for each in self.waves if each.number == wave)
--- a/src/primrosestile_standin/fleetworker.py
+++ b/src/primrosestile_standin/fleetworker.py
@@ -1,7 +1,7 @@
-"""The platform's workers in memory: fences, one lease each, gangs, checkpoints.
+"""In-memory workers of the platform: fences, one lease each, gangs, checkpoints.
 
-They also keep a ledger: what ran twice at one time, what was started after it had
-ended well, what was given more than there is room for. Tests read it at the end.
+They also record violations for tests: tasks that ran twice at one time, that started
+after a successful end, or that exceeded their worker's capacity.
 """
 
 import asyncio
@@ -26,22 +26,24 @@
 
 ANSWER_SECONDS = 0.002
 TIMEOUT_SECONDS = 0.45
-LEASE_LONGEST_SECONDS = 10.0
+MAX_LEASE_SECONDS = 10.0
 GANG_WAIT_SECONDS = 3.0
-# A service alone on a worker, and what each percent of a filling task adds.
-SERVES_ALONE_MS = 40.0
-DISTURBED_MS_PER_PERCENT = 1.5
+# Latency of a service alone on its worker, and what each percent of another task adds.
+BASE_LATENCY_MS = 40.0
+LATENCY_MS_PER_PERCENT = 1.5
 NOTHING = Need()
-# A room that has shrunk still counts for so long: contact with its VM and a heartbeat.
-SHRUNK_SECONDS = 4.5
-# A task that has crashed so many workers must not be started so many times more.
+# A capacity before a reduction stays allowed while the new one becomes known: contact
+# with its VM and a heartbeat.
+OLD_CAPACITY_SECONDS = 4.5
+# After a task has crashed CRASH_LIMIT workers, STARTS_AFTER_LIMIT more starts of it
+# are a violation.
 CRASH_LIMIT = 3
 STARTS_AFTER_LIMIT = 3
 
 
 @dataclass(frozen=True, slots=True)
-class _WellEnd:
-    """A run that ended as done: where, and what had happened there and elsewhere."""
+class _SuccessfulEnd:
+    """A successful end, with its worker's lapses and the count of starts by then."""
 
     worker: "FleetWorker"
     run: int
@@ -63,10 +65,10 @@
 
 
 class FleetWorker:
-    """One life of one worker.
+    """One incarnation of one worker.
 
     Attributes:
-        lapses: Grows whenever its lease is found to have run out.
+        lapses: How many polls and orders found its lease expired.
     """
 
     def __init__(
@@ -84,54 +86,54 @@
         self._ended: list[EndedTask] = []
         self._number = 0
         self._barred: dict[str, int] = {}
-        # What it had before it shrank, and until when that still counts.
-        self._before: tuple[Need, float] | None = None
+        # The capacity before the last change, and until when it stays allowed.
+        self._old_capacity: tuple[Need, float] | None = None
         self._ends_changed = asyncio.Event()
 
     def read_clock(self) -> float:
-        """Return its own steady clock."""
+        """Return the worker's own monotonic clock."""
         return 400.0 + read_clock() * self._rate
 
-    def tell_clock(self) -> float:
-        """Return the time that an answer tells; not always its own."""
+    def report_clock(self) -> float:
+        """Return the clock for an answer, wrong by a clock jump if one is set."""
         jumps = self.faults.clock_jumps
         return self.read_clock() + (jumps.pop(0) if jumps else 0.0)
 
     def change_capacity(self, capacity: Need) -> None:
-        """Have more room or less from now on; what runs goes on."""
-        self._before = (self.entry.capacity, read_clock() + SHRUNK_SECONDS)
+        """Change the capacity; running tasks continue."""
+        self._old_capacity = (self.entry.capacity, read_clock() + OLD_CAPACITY_SECONDS)
         self.entry = replace(self.entry, capacity=capacity)
 
-    def is_overfull(self) -> bool:
-        """Whether more runs than there is room for, by its present or last room."""
-        rooms = [self.entry.capacity]
-        if self._before is not None and read_clock() < self._before[1]:
-            rooms.append(self._before[0])
-        return not any(self._fits(room) for room in rooms)
+    def is_overcommitted(self) -> bool:
+        """Return whether the runs fit neither the present nor the old capacity."""
+        capacities = [self.entry.capacity]
+        if self._old_capacity is not None and read_clock() < self._old_capacity[1]:
+            capacities.append(self._old_capacity[0])
+        return not any(self._fits(capacity) for capacity in capacities)
 
-    def _fits(self, room: Need, more: Need = NOTHING) -> bool:
-        """Whether what runs, and one task more, has room."""
+    def _fits(self, capacity: Need, more: Need = NOTHING) -> bool:
+        """Return whether the runs, and one more task, fit a capacity."""
         used = [more, *(run.script.need for run in self.runs.values())]
         return (
-            sum(each.processor for each in used) <= room.processor
-            and sum(each.accelerators for each in used) <= room.accelerators
+            sum(each.processor for each in used) <= capacity.processor
+            and sum(each.accelerators for each in used) <= capacity.accelerators
         )
 
     def sweep(self) -> None:
-        """Kill everything once its lease has run out."""
+        """End all runs once the lease has expired."""
         if self.runs and self.read_clock() >= self.until:
             for run in list(self.runs.values()):
                 self.end(run, EndKind.LEASE_LAPSED)
 
     def take_poll(self, fence: int, seen: int, until: float | None) -> Refusal | None:
-        """Take in a look's fence, lease and forgotten ends."""
+        """Apply a poll's fence, lease and acknowledged ends."""
         if fence < self.fence:
             return Refusal.FENCE
         self.fence = fence
         self._extend(until)
         for each in self._ended:
             if each.number <= seen:
-                self._fleet.note_taken(self, each)
+                self._fleet.record_acknowledged(self, each)
         self._ended = [each for each in self._ended if each.number > seen]
         return None
 
@@ -139,11 +141,11 @@
         if self.read_clock() >= self.until:
             self.lapses += 1
         if until is not None:
-            longest = self.read_clock() + LEASE_LONGEST_SECONDS
-            self.until = max(self.until, min(until, longest))
+            max_until = self.read_clock() + MAX_LEASE_SECONDS
+            self.until = max(self.until, min(until, max_until))
 
     def make_poll(self) -> PollAnswer:
-        """Return what runs and what has ended."""
+        """Return the answer to a poll: running tasks and ends."""
         running = tuple(
             RunningTask(
                 run.task,
@@ -154,9 +156,9 @@
             )
             for run in self.runs.values()
         )
-        return PollAnswer(self.tell_clock(), running, self._tell_ends())
+        return PollAnswer(self.report_clock(), running, self._list_ends())
 
-    def _tell_ends(self) -> tuple[EndedTask, ...]:
+    def _list_ends(self) -> tuple[EndedTask, ...]:
         ended = list(self._ended)
         if ended and self.faults.number_jumps:
             number = ended[-1].number + self.faults.number_jumps.pop(0)
@@ -172,14 +174,14 @@
         return self._fleet.checkpoints.make(unit, run.done_before + worked, stopped)
 
     def find_usage(self, run: _Run) -> float:
-        """Return a service's slow answers in milliseconds; 0 for other tasks."""
+        """Return a service's latency in milliseconds; 0 for other tasks."""
         if not run.script.serves:
             return 0.0
         others = sum(each.pace for each in self.runs.values() if not each.script.serves)
-        return SERVES_ALONE_MS + others * DISTURBED_MS_PER_PERCENT
+        return BASE_LATENCY_MS + others * LATENCY_MS_PER_PERCENT
 
     def take_pace(self, fence: int, task: str, percent: int) -> Refusal | None:
-        """Let a run work at a share of its speed."""
+        """Limit a run's speed to a share of its full speed."""
         if fence < self.fence:
             return Refusal.FENCE
         self.fence = fence
@@ -190,14 +192,14 @@
         return None
 
     def _find_percent(self, run: _Run) -> float:
-        if not run.working or self.faults.frozen_tasks:
+        if not run.working or self.faults.stalled_tasks:
             return 0.0
         if run.script.serves:
             return 100.0
         return min(99.0, 100 * (read_clock() - run.began) / run.script.seconds)
 
     async def wait_for_end(self, seconds: float) -> None:
-        """Return once an end is listed, or after a time."""
+        """Return once an end is listed, or after a timeout."""
         if self._ended:
             return
         try:
@@ -207,7 +209,7 @@
             self.sweep()
 
     def take_start(self, fence: int, order: StartOrder) -> Refusal | None:
-        """Start a run, or say why not."""
+        """Start a run, or return why it is refused."""
         if fence < self.fence:
             return Refusal.FENCE
         self.fence = fence
@@ -240,11 +242,11 @@
     def _begin(self, order: StartOrder, script: Script) -> None:
         self._fleet.note_start(self, order)
         run = _Run(order.task, order.run, read_clock(), script)
-        run.done_before = self._fleet.checkpoints.find_done(order.checkpoint)
+        run.done_before = self._fleet.checkpoints.find_saved_seconds(order.checkpoint)
         self.runs[order.task] = run
-        if self.is_overfull():
+        if self.is_overcommitted():
             self._fleet.faults_found.append(
-                f"{order.task} is started on {self.entry.worker} beyond its room"
+                f"{order.task} starts on {self.entry.worker} beyond its capacity"
             )
         if script.crashes_after is not None:
             loop = asyncio.get_running_loop()
@@ -252,18 +254,18 @@
         if script.gang == 1:
             self.work(run)
         else:
-            self._fleet.gather(self, run)
+            self._fleet.join_gang(self, run)
 
     def work(self, run: _Run) -> None:
-        """Let a run work until its end."""
+        """Start a run's work, and schedule its end."""
         run.working = True
         run.began = read_clock()
         fails = run.script.fails or self.faults.fails_all
         kind = EndKind.FAILED if fails else EndKind.DONE
         self._set_timer(run, max(0.0, run.script.seconds - run.done_before), kind)
 
-    def wait_alone(self, run: _Run) -> None:
-        """Let a member wait for the others of its gang."""
+    def wait_for_gang(self, run: _Run) -> None:
+        """Wait for the other members of a gang, up to a timeout."""
         self._set_timer(run, GANG_WAIT_SECONDS, EndKind.GANG_INCOMPLETE)
 
     def _set_timer(self, run: _Run, seconds: float, kind: EndKind) -> None:
@@ -276,13 +278,13 @@
         self.sweep()
         if self.runs.get(run.task) is not run:
             return
-        if self.faults.frozen_tasks and kind is EndKind.DONE:
+        if self.faults.stalled_tasks and kind is EndKind.DONE:
             self._set_timer(run, 1.0, kind)
             return
         self.end(run, kind)
 
     def take_stop(self, fence: int, task: str, run: int) -> Refusal | None:
-        """Stop a run, and bar it should its start come later."""
+        """Stop a run, and block its start if that arrives later."""
         if fence < self.fence:
             return Refusal.FENCE
         self.fence = fence
@@ -304,19 +306,19 @@
         self._barred[run.task] = max(self._barred.get(run.task, 0), run.run)
         saved = self._save(run, stopped=kind is EndKind.STOPPED)
         self._ended.append(EndedTask(self._number, run.task, run.run, kind, saved))
-        self._fleet.note_end(self, run.task, run.run, kind)
+        self._fleet.record_end(self, run.task, run.run, kind)
         self._ends_changed.set()
         self._ends_changed = asyncio.Event()
 
     def _crash_by(self, run: _Run) -> None:
-        """Crash, if a task that crashes its worker is still there."""
+        """Crash the worker if the run that crashes it is still there."""
         if self.alive and self.runs.get(run.task) is run:
             self._fleet.crashes[run.task] += 1
             self.crash()
             self._fleet.on_crash(self)
 
     def crash(self) -> None:
-        """End this life: everything on it is gone without a word."""
+        """End this incarnation; its runs are lost without a report."""
         self.alive = False
         self._ends_changed.set()
         gone = list(self.runs.values())
@@ -333,13 +335,13 @@
 
 
 class Fleet:
-    """All workers, and the ledger of what ran.
+    """All workers, and the record of starts, ends and violations.
 
     Attributes:
-        faults_found: Broken promises, as sentences; empty at the end of a test.
-        advice: Knows where steps may run, and which tickets are good.
+        violations: Violated invariants, as texts; must be empty at the end of a test.
+        advice: Decides where steps may run, and which tickets are valid.
         crashes: How many workers each task has crashed.
-        crashed_under: How many workers have crashed while each task was there.
+        crashed_under: How many workers have crashed while each task was on them.
         on_crash: Called with each worker that a task has crashed.
     """
 
@@ -357,37 +359,37 @@
         self.crashed_under: Counter[str] = Counter()
         self.on_crash: Callable[[FleetWorker], None] = _ignore_crash
         self._starts_after_limit: Counter[str] = Counter()
-        self._well_ends: dict[str, list[_WellEnd]] = {}
-        self._taken_done: set[str] = set()
+        self._successful_ends: dict[str, list[_SuccessfulEnd]] = {}
+        self._acknowledged_units: set[str] = set()
         self._gathered: dict[tuple[str, int], list[tuple[FleetWorker, _Run]]] = {}
 
     def add(self, entry: WorkerEntry, clock_rate: float = 1.0) -> FleetWorker:
-        """Add a life of a worker."""
+        """Add an incarnation of a worker."""
         worker = FleetWorker(self, entry, clock_rate)
         self.workers[entry.worker] = worker
         return worker
 
     def find_at(self, address: str) -> FleetWorker | None:
-        """Return the life that serves at an address now."""
+        """Return the incarnation that serves an address now."""
         for worker in self.workers.values():
             if worker.alive and worker.entry.address == address:
                 return worker
         return None
 
-    def is_dark(self, address: str) -> bool:
-        """Whether the last worker at an address has left it dark."""
+    def is_unresponsive(self, address: str) -> bool:
+        """Return whether an address answers nothing since its last worker crashed."""
         found = [
             each for each in self.workers.values() if each.entry.address == address
         ]
         return bool(found) and not found[-1].alive and found[-1].faults.dark
 
     def find_script(self, task: str) -> Script:
-        """Return what becomes of a task: by its name, its job, or as usual."""
+        """Return a task's script: its own, its job's, or the default."""
         job = task.partition(".")[0]
         return self.scripts.get(task) or self.scripts.get(job) or self.default
 
     def note_start(self, worker: FleetWorker, order: StartOrder) -> None:
-        """Enter a start, and what it breaks."""
+        """Record a start, and the invariants that it violates."""
         self.starts.append((order.task, order.run, worker.entry.worker))
         unit = self.name_unit(order.task)
         if self.find_script(order.task).checkpoints:
@@ -399,32 +401,34 @@
                 self.faults_found.append(
                     f"{order.task} run {order.run} starts while it runs elsewhere"
                 )
-        if self.name_unit(order.task) in self._taken_done:
-            self.faults_found.append(f"{order.task} starts after it has ended well")
+        if self.name_unit(order.task) in self._acknowledged_units:
+            self.faults_found.append(f"{order.task} starts after its successful end")
         self._check_crashes(order.task)
 
     def _check_crashes(self, task: str) -> None:
-        """Enter a start of a task that has crashed as many workers as it may."""
+        """Record a start of a task that has reached the crash limit."""
         if self.crashes[task] < CRASH_LIMIT:
             return
         self._starts_after_limit[task] += 1
         if self._starts_after_limit[task] == STARTS_AFTER_LIMIT:
             self.faults_found.append(
-                f"{task} is started {STARTS_AFTER_LIMIT} times more after it has"
+                f"{task} was started {STARTS_AFTER_LIMIT} more times after it had"
                 f" crashed {CRASH_LIMIT} workers"
             )
 
-    def note_end(self, worker: FleetWorker, task: str, run: int, kind: EndKind) -> None:
-        """Enter an end; the other members of a gang end with it."""
+    def record_end(
+        self, worker: FleetWorker, task: str, run: int, kind: EndKind
+    ) -> None:
+        """Record an end; the other members of a gang end with it."""
         self.ends.append((task, run, kind))
-        same = kind is EndKind.DONE
-        if same:
-            end = _WellEnd(worker, run, worker.lapses, len(self.starts))
-            self._well_ends.setdefault(task, []).append(end)
-        self._end_gang(task, run, EndKind.DONE if same else EndKind.GANG_BROKEN)
+        done = kind is EndKind.DONE
+        if done:
+            end = _SuccessfulEnd(worker, run, worker.lapses, len(self.starts))
+            self._successful_ends.setdefault(task, []).append(end)
+        self._end_gang(task, run, EndKind.DONE if done else EndKind.GANG_BROKEN)
 
     def break_gang(self, task: str, run: int) -> None:
-        """End the other members of a gang of which one is gone without a word."""
+        """End the other members of a gang that lost one in a crash."""
         self._end_gang(task, run, EndKind.GANG_BROKEN)
 
     def _end_gang(self, task: str, run: int, kind: EndKind) -> None:
@@ -433,35 +437,35 @@
             if member.task != task:
                 other.end(member, kind)
 
-    def note_taken(self, worker: FleetWorker, ended: EndedTask) -> None:
-        """Enter that an end was taken note of, and what was started after it.
+    def record_acknowledged(self, worker: FleetWorker, ended: EndedTask) -> None:
+        """Record an acknowledged end, and the violating starts after it.
 
-        It does not count as taken note of where the worker's lease has run out since.
+        An end does not count if the worker's lease has expired since.
         """
         unit = self.name_unit(ended.task)
-        for end in self._well_ends.get(ended.task, ()):
+        for end in self._successful_ends.get(ended.task, ()):
             if (end.worker, end.run, end.lapses) != (worker, ended.run, worker.lapses):
                 continue
-            self._taken_done.add(unit)
+            self._acknowledged_units.add(unit)
             for task, run, _ in self.starts[end.starts :]:
                 if self.name_unit(task) == unit:
                     self.faults_found.append(
-                        f"{task} run {run} was started after an end that counts"
+                        f"{task} run {run} was started after an acknowledged end"
                     )
 
     def name_unit(self, task: str) -> str:
-        """Return what ends as one: a task, or a gang by its step."""
+        """Return the unit of a task: itself, or its step for a gang."""
         if self.find_script(task).gang > 1:
             return task.rpartition(".")[0]
         return task
 
-    def gather(self, worker: FleetWorker, run: _Run) -> None:
-        """Let a gang work once all of its members are there."""
+    def join_gang(self, worker: FleetWorker, run: _Run) -> None:
+        """Add a member to its gang; start the gang's work once it is complete."""
         key = (run.task.rpartition(".")[0], run.run)
         members = self._gathered.setdefault(key, [])
         members.append((worker, run))
         if len(members) < run.script.gang:
-            worker.wait_alone(run)
+            worker.wait_for_gang(run)
             return
         for each, member in members:
             each.work(member)
--- a/src/primrosestile_standin/ledger.py
+++ b/src/primrosestile_standin/ledger.py
@@ -1,7 +1,7 @@
-"""What really ran, written down by the workers themselves.
+"""The record of what ran, kept by the workers themselves.
 
-A demo or a test asks the ledger, never the programs under test, whether work was
-lost or run twice. Times are the loop's, which all processes of one machine share.
+A demo or a test uses the ledger, never the programs under test, to find lost or
+repeated work. Times are the loop's, which all processes of one machine share.
 """
 
 from dataclasses import dataclass, field, replace
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRun:
-    """One task from its go until it ended.
+    """One run of a task, from its go to its end.
 
     Attributes:
-        payload: The caller's own text, which stays the same when the programs
-            give its job another id.
+        payload: The caller's text, which stays the same when the programs give the
+            job another id.
         end: Loop time in seconds; None while it runs.
         outcome: The phase in which it ended; `running` until then.
     """
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Everything that ran on one worker, or on several, in order of start."""
+    """The runs on one or several workers, in order of start."""
 
     requests: list[RequestRun] = field(default_factory=list)
     tasks: list[TaskRun] = field(default_factory=list)
@@ -63,7 +63,7 @@
         return len(self.requests) - 1
 
     def end_request(self, number: int, end: float, ok: bool) -> None:
-        """Write down how a request's run ended."""
+        """Record the end of a request's run."""
         self.requests[number] = replace(self.requests[number], end=end, ok=ok)
 
     def start_task(self, run: TaskRun) -> int:
@@ -72,7 +72,7 @@
         return len(self.tasks) - 1
 
     def end_task(self, number: int, end: float, outcome: str) -> None:
-        """Write down how a task's run ended."""
+        """Record the end of a task's run."""
         self.tasks[number] = replace(self.tasks[number], end=end, outcome=outcome)
 
     def count_request(self, request_id: str) -> int:
--- a/src/primrosestile_standin/link.py
+++ b/src/primrosestile_standin/link.py
@@ -1,7 +1,7 @@
-"""What one process's VM can carry: a link with a rate, and a processor.
+"""The link and the processor of one process's VM.
 
-All calls of a process share both. Bytes of several calls take turns in small parts, so
-that a small answer gets through beside a large one, only later, as on a real link.
+All calls of a process share both. The link interleaves calls in small parts, so that
+a small answer passes a large one, with a delay, as on a real link.
 """
 
 import asyncio
@@ -9,12 +9,12 @@
 
 from primrosestile.clock import read_clock
 
-# Small enough that a renewal isn't held up for long by one large answer.
+# Small enough that a large answer delays a renewal only briefly.
 PART_BYTES = 512
-# An answer without a body, and what a row of one adds to the value it carries.
+# Sizes of an answer without a body, and of a row besides its value.
 ANSWER_BYTES = 120
 ROW_BYTES = 100
-# Values travel in base 64.
+# Values are sent in base 64.
 VALUE_FACTOR = 4 / 3
 
 
@@ -22,21 +22,21 @@
     """A VM's link and processor.
 
     Attributes:
-        rate: Bytes a second that the link carries.
-        call_seconds: How long the processor takes over one answer.
+        rate: Throughput of the link in bytes a second.
+        call_seconds: Processor time per answer.
     """
 
     def __init__(self) -> None:
         self.rate = math.inf
         self.call_seconds = 0.0
-        self._link = _Line()
-        self._processor = _Line()
+        self._link = _SerialServer()
+        self._processor = _SerialServer()
 
     async def carry(self, size: float, seconds: float) -> None:
-        """Return once an answer of a size has come through.
+        """Return once an answer of `size` bytes has been transferred.
 
         Raises:
-            TimeoutError: When it has not within a time.
+            TimeoutError: When it takes longer than `seconds`.
         """
         if math.isinf(self.rate) and not self.call_seconds:
             return
@@ -44,18 +44,18 @@
             while size > 0:
                 part = min(size, PART_BYTES)
                 size -= part
-                await self._link.take(part / self.rate)
-            await self._processor.take(self.call_seconds)
+                await self._link.serve(part / self.rate)
+            await self._processor.serve(self.call_seconds)
 
 
-class _Line:
-    """Serves one after another."""
+class _SerialServer:
+    """Serves jobs one at a time, in order of arrival."""
 
     def __init__(self) -> None:
         self._free_at = 0.0
 
-    async def take(self, seconds: float) -> None:
-        """Return once what came before and this have been served."""
+    async def serve(self, seconds: float) -> None:
+        """Return once this job, and all earlier ones, have been served."""
         now = read_clock()
         self._free_at = max(now, self._free_at) + seconds
         await asyncio.sleep(self._free_at - now)
--- a/src/primrosestile_standin/listener.py
+++ b/src/primrosestile_standin/listener.py
@@ -1,8 +1,8 @@
-"""One address on which the stand-in listens, and can stop listening.
+"""A listener whose socket can be closed and opened again, to simulate outages.
 
-A platform that is down refuses connections, which is not the same to a caller as
-one that accepts and then fails: nothing was sent. So an outage closes the socket
-and cuts what is open, and its end listens on the same port again.
+A platform that is down refuses connections, so that a caller knows that nothing was
+sent; one that accepts and then fails does not tell that. So an outage closes the
+socket and all connections, and its end opens the same port again.
 """
 
 import asyncio
@@ -35,11 +35,11 @@
 
     @property
     def address(self) -> str:
-        """`ip:port`; the port is known once it has been opened."""
+        """`ip:port`; a port of 0 is replaced once the socket is open."""
         return f"{self._host}:{self._port}"
 
     async def open(self) -> None:
-        """Listen, if it does not yet."""
+        """Start listening; does nothing if it already listens."""
         if self._site is not None:
             return
         if self._runner.server is None:
@@ -51,7 +51,7 @@
         self._port = self._runner.addresses[0][1]
 
     async def shut(self) -> None:
-        """Refuse new connections and cut the open ones."""
+        """Refuse new connections and close the open ones."""
         if self._site is None:
             return
         site, self._site = self._site, None
@@ -59,12 +59,12 @@
         self.cut()
 
     def cut(self) -> None:
-        """Cut every open connection, without an answer."""
+        """Abort every open connection without an answer."""
         for transport in self.list_transports():
             transport.abort()
 
     def silence(self) -> None:
-        """Let every connection that is open now go silent for good."""
+        """Silence every open connection permanently."""
         self._app[SILENT].update(self.list_transports())
 
     def list_transports(self) -> list[Any]:
@@ -75,7 +75,7 @@
         return [transport for transport in transports if transport is not None]
 
     async def close(self) -> None:
-        """Stop for good."""
+        """Stop listening permanently."""
         await self._runner.cleanup()
         self._site = None
 
@@ -85,9 +85,9 @@
     request: web.Request,
     handler: Callable[[web.Request], Awaitable[web.StreamResponse]],
 ) -> web.StreamResponse:
-    """Answer nothing on a connection that has gone silent.
+    """Send no answer on a silent connection.
 
-    What came before the silence is still done: only its answer is lost.
+    A request from before the silence still takes effect; only its answer is lost.
     """
     if is_silent(request):
         return await hang()
@@ -98,18 +98,18 @@
 
 
 def is_silent(request: web.Request) -> bool:
-    """Return whether nothing more is said on a request's connection."""
+    """Return whether a request's connection is silent."""
     return request.transport in request.app[SILENT]
 
 
 async def hang() -> web.StreamResponse:
-    """Wait until the other end gives the connection up."""
+    """Wait until the peer closes the connection."""
     # The listener cancels a handler whose connection is lost, which ends the wait.
     await asyncio.Event().wait()
     return web.Response(status=500)
 
 
 def cut_connection(request: web.Request) -> None:
-    """Cut a request's connection without an answer."""
+    """Abort a request's connection without an answer."""
     if request.transport is not None:
         request.transport.abort()
--- a/src/primrosestile_standin/platform.py
+++ b/src/primrosestile_standin/platform.py
@@ -1,8 +1,7 @@
-"""The whole stand-in: a store, a VM list, workers, and the switches for faults.
+"""The complete stand-in: a store, a VM list, workers, and the control of faults.
 
-Each part may have an address of its own, so that one can be down while the others
-serve, and so that parts can run in separate processes. The switches always have
-one of their own.
+Each part may have its own address, so that one can be down while the others serve,
+and so that parts can run in separate processes. The fault control always has its own.
 """
 
 from collections import defaultdict
@@ -31,15 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultOrder:
-    """What `POST /faults` carries; what is left out stays as it is.
+    """The body of `POST /faults`; omitted fields stay unchanged.
 
     Attributes:
         store: Fields of `StoreFaults` to set.
         workers: Fields of `WorkerFaults` to set, by worker; `*` means each.
-        leave: Workers that say from now on that they are leaving.
-        vms: VMs to show in the list: whether each is leaving.
-        remove_vms: VMs to show no more.
-        lag_seconds: How long the VM list takes to show a change.
+        leave: Workers that report from now on that they are leaving.
+        vms: VMs to list; the value says whether each is leaving.
+        remove_vms: VMs to remove from the list.
+        lag_seconds: Delay of changes in the VM list.
     """
 
     store: dict[str, Any] = field(default_factory=dict)
@@ -88,7 +87,7 @@
         return await self._serve_other(app, address)
 
     async def serve_switches(self, address: str) -> str:
-        """Serve faults, counts of calls and the ledger; return the address."""
+        """Serve fault control, call counts and the ledger; return the address."""
         app = web.Application()
         app.router.add_post(FAULTS_PATH, self._answer_faults)
         app.router.add_get(CALLS_PATH, self._answer_calls)
@@ -101,8 +100,8 @@
         """Serve workers; return the address of the last group.
 
         Args:
-            workers: As settings have them.
-            address: Where to serve all of them; None means each at its own.
+            workers: The workers as the settings list them.
+            address: Where to serve all of them; None means each at its own address.
         """
         groups: dict[str, list[Worker]] = defaultdict(list)
         for worker in workers:
@@ -113,14 +112,14 @@
         return served_at
 
     def add_worker(self, worker: Worker) -> MemoryWorker:
-        """Add a worker as settings have it, at no address."""
+        """Add a worker from the settings, without serving it."""
         core = MemoryWorker(worker.name, worker.accelerators, worker.slots)
         self.workers[worker.name] = core
         self.vms.show(worker.name)
         return core
 
     async def apply(self, order: FaultOrder) -> None:
-        """Switch faults on or off, now."""
+        """Apply a fault order immediately."""
         self.store.faults = replace(self.store.faults, **order.store)
         for name, fields in order.workers.items():
             chosen = self.workers if name == EVERY_WORKER else {name}
@@ -196,7 +195,7 @@
 
 
 async def set_open(listener: Listener, is_open: bool) -> None:
-    """Let a listener listen or not."""
+    """Open or shut a listener."""
     if is_open:
         await listener.open()
     else:
--- a/src/primrosestile_standin/program.py
+++ b/src/primrosestile_standin/program.py
@@ -1,7 +1,7 @@
 """`primrosestile-standin`: the stand-in for the platform as a program.
 
 It serves the parts for which an address is given, prints the addresses as one
-line of JSON, and runs until it is told to end.
+line of JSON, and runs until SIGTERM or SIGINT.
 """
 
 import asyncio
@@ -66,7 +66,7 @@
 
 
 async def wait_for_end() -> None:
-    """Return when the process is told to end."""
+    """Return on SIGTERM or SIGINT."""
     end = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/src/primrosestile_standin/store.py
+++ b/src/primrosestile_standin/store.py
@@ -1,8 +1,8 @@
-"""A store in memory with the promises of the real one and nothing more.
+"""In-memory store with the guarantees of the real one and no others.
 
-Tests on a paused clock use it directly, and the HTTP stand-in serves it, so both
-kinds of test meet the same behaviour. Leases lapse by the running loop's clock,
-and a lapse is seen by watches like any other removal.
+Tests on a simulated clock use it directly and the HTTP stand-in serves it, so both
+kinds of test see the same behaviour. Leases expire by the running loop's clock, and
+watches deliver an expiry like any other removal.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class _Lease:
-    """One lease and the keys that end with it."""
+    """One lease and the keys attached to it."""
 
     seconds: int
     timer: asyncio.TimerHandle
@@ -38,7 +38,7 @@
 
     Attributes:
         faults: Set its fields to make the store misbehave.
-        calls: How often each kind of call came; a waiting watch counts as one.
+        calls: Number of calls by kind; a watch counts once.
     """
 
     def __init__(self, faults: StoreFaults | None = None) -> None:
@@ -49,7 +49,7 @@
         self._leases: dict[int, _Lease] = {}
         self._next_lease = 1
         self._history: list[Change] = []
-        self._forgotten = 0
+        self._dropped_count = 0
         self._changed = asyncio.Event()
 
     async def get(self, key: str) -> Entry | None:
@@ -79,7 +79,7 @@
 
         Raises:
             Failure: TOO_LARGE for more than a megabyte, NOT_FOUND when the lease
-                has lapsed; nothing was written in both cases.
+                has expired; nothing is written in either case.
         """
         await self._enter("txn")
         if len(value) > VALUE_LIMIT_BYTES:
@@ -107,29 +107,29 @@
         return self._answer(SwapResult(True, self.revision))
 
     async def grant_lease(self, seconds: int) -> int:
-        """Return the id of a new lease that lapses after `seconds`."""
+        """Return the id of a new lease that expires after `seconds`."""
         await self._enter("lease_grant")
         lease = self._next_lease
         self._next_lease += 1
         self._leases[lease] = _Lease(seconds, self._start_timer(lease, seconds))
-        self._hear()
+        self._raise_if_lost()
         return lease
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renew; return False when the lease has lapsed already."""
+        """Renew; return False when the lease has already expired."""
         await self._enter("lease_keepalive")
         held = self._leases.get(lease)
         if held is not None:
             held.timer.cancel()
             held.timer = self._start_timer(lease, held.seconds)
-        self._hear()
+        self._raise_if_lost()
         return held is not None
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease, removing the keys under it."""
+        """End a lease and remove its keys."""
         await self._enter("lease_revoke")
         self.lapse(lease)
-        self._hear()
+        self._raise_if_lost()
 
     async def watch(
         self, prefix: str, revision: int
@@ -138,7 +138,7 @@
 
         Raises:
             Failure: STORE_UNAVAILABLE when the store is down, silent for too
-                long, or no longer remembers that revision.
+                long, or has compacted that revision.
         """
         async for changes in self.watch_range(prefix, find_end(prefix), revision):
             yield changes
@@ -151,18 +151,18 @@
         position = self._find_position(revision)
         while True:
             await self._check_watch()
-            changes = self._history[position - self._forgotten :]
+            changes = self._history[position - self._dropped_count :]
             position += len(changes)
             seen = tuple(each for each in changes if start <= each.key < end)
             if seen:
                 yield seen
             else:
                 await self._wait_for_change()
-            if position < self._forgotten:
+            if position < self._dropped_count:
                 raise Failure(ErrorKind.STORE_UNAVAILABLE, "the watch fell behind")
 
     def lapse(self, lease: int) -> None:
-        """End a lease now, as if its time had passed."""
+        """End a lease now, as if it had expired."""
         held = self._leases.pop(lease, None)
         if held is None:
             return
@@ -181,10 +181,10 @@
             raise Failure(ErrorKind.STORE_UNAVAILABLE, "the store is down")
 
     def _answer(self, swap: SwapResult) -> SwapResult:
-        self._hear()
+        self._raise_if_lost()
         return swap
 
-    def _hear(self) -> None:
+    def _raise_if_lost(self) -> None:
         if self.faults.take_lost_answer():
             raise Failure(ErrorKind.STORE_ANSWER_LOST, "the answer was lost")
 
@@ -214,18 +214,18 @@
         excess = len(self._history) - HISTORY_LIMIT
         if excess > 0:
             del self._history[:excess]
-            self._forgotten += excess
+            self._dropped_count += excess
         self._changed.set()
         self._changed = asyncio.Event()
 
     def _find_position(self, revision: int) -> int:
         oldest = self._history[0].revision if self._history else 0
-        if self._forgotten and revision < oldest:
+        if self._dropped_count and revision < oldest:
             raise Failure(ErrorKind.STORE_UNAVAILABLE, "that revision is compacted")
         for index, change in enumerate(self._history):
             if change.revision >= revision:
-                return self._forgotten + index
-        return self._forgotten + len(self._history)
+                return self._dropped_count + index
+        return self._dropped_count + len(self._history)
 
     async def _check_watch(self) -> None:
         if self.faults.silent_watches:
@@ -235,12 +235,12 @@
             raise Failure(ErrorKind.STORE_UNAVAILABLE, "the store is down")
 
     async def _wait_for_change(self) -> None:
-        # The bound lets a watch that waits notice that a fault was switched on.
+        # The timeout lets a waiting watch notice a fault that was switched on.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FAULT_CHECK_SECONDS):
                 await self._changed.wait()
 
 
 def find_end(prefix: str) -> str:
-    """Return a text that sorts after every key that begins with the prefix."""
+    """Return a string that sorts after every key with the prefix."""
     return prefix + chr(0x10FFFF)
--- a/src/primrosestile_standin/store_http.py
+++ b/src/primrosestile_standin/store_http.py
@@ -1,4 +1,4 @@
-"""The store in memory behind the forms of the etcd v3 JSON gateway."""
+"""The in-memory store behind the etcd v3 JSON gateway's messages."""
 
 import asyncio
 import contextlib
@@ -45,7 +45,7 @@
     request: web.Request,
     handler: Callable[[web.Request], Awaitable[web.StreamResponse]],
 ) -> web.StreamResponse:
-    """Answer a refusal as the gateway does, and any other failure not at all."""
+    """Answer a refusal as the gateway does; abort the connection on other failures."""
     try:
         return await handler(request)
     except Failure as failure:
@@ -59,7 +59,7 @@
 
 
 class _ServedStore:
-    """The gateway's calls, each put to the core."""
+    """The gateway's calls, forwarded to the in-memory store."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
@@ -145,7 +145,7 @@
             upcoming.cancel()
 
     async def _finish(self, writing: Coroutine[Any, Any, T]) -> T:
-        """Let a write take effect although its caller has given up."""
+        """Complete a write even if its caller disconnects."""
         task = asyncio.get_running_loop().create_task(writing)
         self._writing.add(task)
         task.add_done_callback(self._writing.discard)
@@ -156,19 +156,19 @@
 
 
 async def read_form(request: web.Request, kind: type[T]) -> T:
-    """Return the form that a request carries."""
+    """Return the decoded body of a request."""
     return decode_json(await request.read(), kind)
 
 
 def read_end(range_end: bytes) -> str:
-    """Return the first key after a range; a zero byte stands for no end."""
+    """Return the first key after a range; a zero byte means no end."""
     if range_end == b"\0":
         return find_end("")
     return range_end.decode(errors="surrogateescape")
 
 
 def answer_form(form: object) -> web.Response:
-    """Return an answer that carries a form."""
+    """Return an answer with an encoded body."""
     return web.Response(body=encode_json(form), content_type="application/json")
 
 
@@ -178,7 +178,7 @@
 
 
 def write_swap(swap: SwapResult) -> gateway.TxnResponse:
-    """Return the form of a compare-and-swap's outcome."""
+    """Return the gateway's message for the result of a compare-and-swap."""
     header = gateway.Header(str(swap.revision))
     if swap.done:
         return gateway.TxnResponse(header, True)
@@ -188,7 +188,7 @@
 
 
 def write_change(change: Change) -> gateway.Event:
-    """Return the form of one change."""
+    """Return the gateway's message for one change."""
     if change.entry is not None:
         return gateway.Event(gateway.write_entry(change.entry))
     removed = gateway.KeyValue(change.key.encode(), mod_revision=str(change.revision))
--- a/src/primrosestile_standin/worker.py
+++ b/src/primrosestile_standin/worker.py
@@ -1,9 +1,9 @@
-"""One worker in memory: accelerators under leases, tasks, and slots.
+"""One in-memory worker: accelerators under leases, tasks, and slots.
 
-It keeps what `protocol.workers` assumes of a worker: a lower epoch is refused, a
-task whose lease lapses is stopped, and a repeated command has the outcome of the
-first. A command for a task that has ended changes nothing, so a command that
-arrives late cannot bring a stopped task back.
+It implements what `protocol.workers` requires of a worker: a lower epoch is refused,
+a task whose lease expires is stopped, and a repeated command has the outcome of the
+first. A command for an ended task has no effect, so a late command cannot restart a
+stopped task.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 FAILURE_SECONDS = 0.05
 USAGE_LAG_SECONDS = 2.0
-KEEP_ENDED_SECONDS = 600.0
+ENDED_RETENTION_SECONDS = 600.0
 FAILING_PAYLOAD = "fail"
 _LIVE = (TaskPhase.HELD, TaskPhase.RUNNING)
 
@@ -36,8 +36,8 @@
 
     Attributes:
         done: Seconds of work done up to `since`.
-        since: Loop time at which the present share began.
-        saved: Seconds of work that a checkpoint saved.
+        since: Loop time at which the present share took effect.
+        saved: Seconds of work saved by the last checkpoint.
     """
 
     order: TaskOrder
@@ -56,18 +56,18 @@
     run: int | None = None
 
     def measure_work(self) -> float:
-        """Return the seconds of work done by now."""
+        """Return the seconds of work done so far."""
         if self.phase is not TaskPhase.RUNNING:
             return self.done
         return self.done + (read_clock() - self.since) * self.share
 
 
 class MemoryWorker:
-    """A worker's state and rules, without any connection.
+    """A worker's state and rules, without a network.
 
     Attributes:
         faults: Set its fields to make the worker misbehave.
-        ledger: What ran here.
+        ledger: The runs on this worker.
         leaving: Set by `leave`; new tasks are refused from then on.
     """
 
@@ -92,16 +92,16 @@
         self._runs: set[asyncio.Task[RequestAnswer]] = set()
 
     def leave(self) -> None:
-        """Say from now on that this worker is leaving."""
+        """Report from now on that this worker is leaving."""
         if not self.leaving:
             self.leaving = True
             self._left_at = read_clock()
 
     def report(self, epoch: int) -> WorkerReport:
-        """Return all that it holds; epoch 0 only reads."""
+        """Return all tasks; epoch 0 reads without a check of the epoch."""
         if epoch:
             self._check_epoch(epoch)
-        self._forget_ended()
+        self._drop_old_ended()
         tasks = tuple(self._describe(task) for task in self._tasks.values())
         return WorkerReport(
             self.name, self.epoch, self.accelerators, self.leaving, tasks
@@ -131,7 +131,7 @@
         self._extend_lease(task, order.lease_seconds)
 
     def go(self, epoch: int, task_id: str) -> None:
-        """Let a prepared task run."""
+        """Start a prepared task."""
         self._check_epoch(epoch)
         task = self._tasks.get(task_id)
         if task is not None and task.run is not None:
@@ -146,7 +146,7 @@
     def renew(
         self, epoch: int, task_ids: Sequence[str], lease_seconds: float
     ) -> WorkerReport:
-        """Renew the live ones among some tasks; return the report."""
+        """Renew the leases of the live tasks; return the report."""
         self._check_epoch(epoch)
         for task_id in task_ids:
             task = self._tasks.get(task_id)
@@ -173,7 +173,7 @@
             self._plan_end(task)
 
     def stop(self, epoch: int, task_id: str) -> None:
-        """Stop a task in any phase; an unknown one may never start later."""
+        """Stop a task in any phase; an unknown one is blocked from a later start."""
         self._check_epoch(epoch)
         task = self._tasks.get(task_id)
         if task is None:
@@ -184,7 +184,7 @@
     async def run_request(self, order: RequestOrder) -> RequestAnswer:
         """Run a short request in a slot, or refuse it as not run.
 
-        A run goes on when its caller has given up, as it would on a real worker.
+        A run continues when its caller disconnects, as on a real worker.
         """
         if self.faults.refuse_requests or self.in_flight >= self.slots:
             return RequestAnswer(order.request_id, False, False, b"", self.leaving)
@@ -332,10 +332,10 @@
             gang_size=task.order.gang_size,
         )
 
-    def _forget_ended(self) -> None:
-        # An owner must be able to read how a task ended even when it was away for
-        # some minutes; forgetting at once would make a finished job look lost.
-        oldest = read_clock() - KEEP_ENDED_SECONDS
+    def _drop_old_ended(self) -> None:
+        # An owner must be able to read how a task ended after an absence of some
+        # minutes; immediate removal would make a finished job look lost.
+        oldest = read_clock() - ENDED_RETENTION_SECONDS
         self._tasks = {
             task_id: task
             for task_id, task in self._tasks.items()
@@ -344,5 +344,5 @@
 
 
 def make_answer_body(order: RequestOrder) -> bytes:
-    """Return the body that belongs to this request and to no other."""
+    """Return an answer body that is unique to this request."""
     return f"answer to {order.request_id}: ".encode() + order.body
--- a/src/primrosestile_standin/workers_http.py
+++ b/src/primrosestile_standin/workers_http.py
@@ -1,4 +1,4 @@
-"""Workers in memory behind the forms of the control and request calls."""
+"""In-memory workers behind the messages of the control and request calls."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
@@ -20,14 +20,14 @@
 
 
 class ServedWorkers:
-    """The calls to some workers that share one address."""
+    """The calls of workers that share one address."""
 
     def __init__(self, workers: Mapping[str, MemoryWorker]) -> None:
         self._workers = workers
         self._previous: dict[str, RequestAnswer] = {}
 
     def make_app(self) -> web.Application:
-        """Return the application; a sole worker is served without a prefix too."""
+        """Return the application; a single worker is also served without a prefix."""
         app = web.Application(client_max_size=BODY_LIMIT_BYTES)
         for path, handler in self._list_calls():
             served = self._guard(handler)
@@ -51,7 +51,7 @@
     def _guard(
         self, handler: Handler
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-        """Return the handler with the faults of its worker around it."""
+        """Return a handler that applies the worker's faults to each call."""
 
         async def serve(request: web.Request) -> web.StreamResponse:
             worker = self._find_worker(request)
@@ -145,12 +145,12 @@
 
 
 async def read_call(request: web.Request, kind: type[T]) -> T:
-    """Return the control call that a request carries."""
+    """Return the control call decoded from a request."""
     return decode_json(await request.read(), kind)
 
 
 async def read_order(request: web.Request) -> RequestOrder:
-    """Return the short request that a call carries."""
+    """Return the short request decoded from a call."""
     headers = request.headers
     return RequestOrder(
         headers[control.REQUEST_ID_HEADER],
@@ -181,7 +181,7 @@
 
 
 async def truncate(request: web.Request, response: web.Response) -> web.StreamResponse:
-    """Send half of an answer under its whole length, then cut the connection."""
+    """Send half of an answer with its full length stated, then close the connection."""
     body = response.body if isinstance(response.body, bytes) else b""
     short = web.StreamResponse(headers=response.headers)
     short.content_length = len(body)
