--- a/features/standin/targets.feature
+++ b/features/standin/targets.feature
@@ -1,7 +1,7 @@
-Feature: A caller gets the whole answer to its own request, or the truth
+Feature: A caller gets the complete answer to its own request, or a correct error
 
-  Scenario Outline: A request is answered whole, or refused as not run
-    Given the stand-in reached <how>
+  Scenario Outline: A request is answered completely, or refused as not run
+    Given the stand-in accessed <how>
     When request "r1" of 0.01 seconds is sent to "w1" with 10 seconds to answer
     Then the answer to "r1" is its own, run and ok
     When the stand-in's faults become {"workers": {"w1": {"fail_requests": true}}}
@@ -16,8 +16,8 @@
       | in memory |
       | over HTTP |
 
-  Scenario Outline: A target that is down ran nothing
-    Given the stand-in reached <how>
+  Scenario Outline: A target that is down does not run a request
+    Given the stand-in accessed <how>
     When the stand-in's faults become {"workers": {"*": {"down": true}}}
     And request "r1" of 0.01 seconds is sent to "w1" with 1 seconds to answer
     Then the stand-in's call failed as no_target
@@ -27,8 +27,8 @@
       | in memory |
       | over HTTP |
 
-  Scenario Outline: An answer that is not whole, or not one's own, is not given
-    Given the stand-in reached <how>
+  Scenario Outline: An incomplete answer, or one to another request, is not returned
+    Given the stand-in accessed <how>
     When request "r0" of 0.01 seconds is sent to "w1" with 10 seconds to answer
     And the stand-in's faults become {"workers": {"w1": {"<fault>": <value>}}}
     And request "r1" of 0.2 seconds is sent to "w1" with 1 seconds to answer
@@ -52,10 +52,10 @@
       | in memory | frozen       | true  | false | 0    |
       | over HTTP | frozen       | true  | false | 0    |
 
-  Scenario: Open connections that went silent cost one caller, not one each
-    Something between the two ends has lost track of all connections at once. A
-    pool that kept them would make each of the next callers wait out a timeout.
-    Given the stand-in reached over HTTP
+  Scenario: Silent connections delay one caller, not one each
+    A middlebox has lost the state of all connections at once. A pool that kept them
+    would make each of the next callers wait for a timeout.
+    Given the stand-in accessed over HTTP
     When 6 requests of 0.3 seconds are sent to "w1" at once
     And the stand-in's faults become {"workers": {"w1": {"silent": true}}}
     And request "r1" of 0.01 seconds is sent to "w1" with 1 seconds to answer
@@ -63,7 +63,7 @@
     When request "r2" of 0.01 seconds is sent to "w1" with 10 seconds to answer
     Then the answer to "r2" is its own, run and ok
 
-  Scenario: No more connections are opened to a target than it accepts
-    Given the stand-in reached over HTTP
+  Scenario: No more connections are opened to a target than its limit
+    Given the stand-in accessed over HTTP
     When 12 requests of 0.05 seconds are sent to "w1" at once
     Then at most 4 connections were open to "w1"
--- a/features/steps/ports_steps.py
+++ b/features/steps/ports_steps.py
@@ -1,4 +1,4 @@
-"""Ports of deployments that start side by side."""
+"""Ports of concurrent deployments."""
 
 from itertools import islice
 from typing import Any
@@ -8,21 +8,23 @@
 from tools import launch
 
 
-@given("two deployments that look at the same {count:d} ports")
-def step_two(context: Any, count: int) -> None:
+@given("two deployments that choose from the same {count:d} ports")
+def start_deployments(context: Any, count: int) -> None:
     first = launch.PORTS[-count]
     ports = patch.object(launch, "PORTS", range(first, first + count))
     ports.start()
     context.cleanups.append(ports.stop)
-    context.ways = [launch.iterate_ports(), launch.iterate_ports()]
+    context.iterators = [launch.iterate_ports(), launch.iterate_ports()]
 
 
 @when("each takes {count:d} ports and nothing listens on them yet")
-def step_take(context: Any, count: int) -> None:
-    context.taken = [port for way in context.ways for port in islice(way, count)]
+def take_ports(context: Any, count: int) -> None:
+    context.taken = [
+        port for ports in context.iterators for port in islice(ports, count)
+    ]
 
 
 @then("no port was taken twice")
-def step_once(context: Any) -> None:
+def check_ports(context: Any) -> None:
     assert context.taken
     assert len(set(context.taken)) == len(context.taken), sorted(context.taken)
