--- a/features/doubles/crashday.py
+++ b/features/doubles/crashday.py
@@ -1,6 +1,6 @@
-"""A drawn day of tasks that crash their workers, and of workers that crash anyway.
+"""A random test of tasks that crash their workers, and of workers that crash otherwise.
 
-Owners are killed and the store is away all the while. What is drawn follows the seed.
+Meanwhile owners are killed and the store is unavailable. The seed fixes the draws.
 """
 
 import asyncio
@@ -20,21 +20,21 @@
 JOBS = 16
 CRASHING_SHARE = 0.3
 TASK_SECONDS = 4.0
-CRASH_SECONDS = (0.0, 0.01, 0.4, 2.0)
-BACK_SECONDS = (1.0, 3.5, 8.0)
+CRASH_DELAYS_SECONDS = (0.0, 0.01, 0.4, 2.0)
+RESTART_DELAYS_SECONDS = (1.0, 3.5, 8.0)
 SETTLE_SECONDS = 100.0
-INNOCENT_CRASHES = 4
+UNRELATED_CRASH_LIMIT = 4
 
 
 @dataclass(slots=True)
 class CrashDay:
-    """One day.
+    """One run of the test.
 
     Attributes:
         queues: The queue of each accepted job.
-        crashing: Jobs one task of which crashes its workers.
-        wrong: What must not be, in words.
-        calm: Nothing more goes wrong, but for tasks that crash.
+        crashing: Jobs with a task that crashes its workers.
+        wrong: The violations found, as texts.
+        faults_ended: No more faults are injected; tasks may still crash workers.
     """
 
     world: FleetWorld
@@ -43,20 +43,20 @@
     queues: dict[str, str] = field(default_factory=dict)
     crashing: set[str] = field(default_factory=set)
     wrong: list[str] = field(default_factory=list)
-    calm: bool = False
+    faults_ended: bool = False
 
     async def play(self) -> None:
-        """Play the day, and judge it."""
+        """Run the test and check its results."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._make_trouble())
+            tasks.create_task(self._inject_faults())
             for _ in range(JOBS):
-                tasks.create_task(self._hand_in())
+                tasks.create_task(self._submit())
                 await asyncio.sleep(self.draw.uniform(0.2, 2.5))
-            self.calm = True
+            self.faults_ended = True
         await asyncio.sleep(SETTLE_SECONDS)
-        await self._judge()
+        await self._check_results()
 
-    async def _hand_in(self) -> None:
+    async def _submit(self) -> None:
         draw = self.draw
         job_id = f"{draw.getrandbits(64):016x}"
         count = draw.randint(1, 4)
@@ -68,13 +68,15 @@
             "gang": draw.random() < 0.3,
         }
         crashing = draw.random() < CRASHING_SHARE
-        guilty = draw.randrange(count) if crashing else None
+        crashing_index = draw.randrange(count) if crashing else None
         for index in range(count):
             self.world.fleet.scripts[f"{job_id}.0.0.{index}"] = Script(
                 seconds=TASK_SECONDS,
                 need=Need(1000, 1000, step["gpu"]),
                 gang=count if step["gang"] else 1,
-                crashes_after=draw.choice(CRASH_SECONDS) if index == guilty else None,
+                crashes_after=draw.choice(CRASH_DELAYS_SECONDS)
+                if index == crashing_index
+                else None,
             )
         queue = draw.choice(QUEUES)
         for _ in range(20):
@@ -89,17 +91,17 @@
                 self.crashing.add(job_id)
             return
 
-    async def _make_trouble(self) -> None:
-        troubles: list[Callable[[], Awaitable[None]]] = [
+    async def _inject_faults(self) -> None:
+        faults: list[Callable[[], Awaitable[None]]] = [
             self._crash_worker,
             self._change_restarts,
             self._kill_owner,
             self._lose_orders,
             self._take_store_down,
         ]
-        while not self.calm:
+        while not self.faults_ended:
             await asyncio.sleep(self.draw.uniform(0.3, 2.5))
-            await self.draw.choice(troubles)()
+            await self.draw.choice(faults)()
 
     async def _crash_worker(self) -> None:
         workers = self.world.fleet.workers.values()
@@ -108,7 +110,7 @@
             self.restarts.crash(self.draw.choice(alive))
 
     async def _change_restarts(self) -> None:
-        self.restarts.after = self.draw.choice(BACK_SECONDS)
+        self.restarts.after = self.draw.choice(RESTART_DELAYS_SECONDS)
         self.restarts.dark = self.draw.random() < 0.4
 
     async def _kill_owner(self) -> None:
@@ -123,8 +125,8 @@
     async def _take_store_down(self) -> None:
         await take_store_down(self.world, self.draw.uniform(0.2, 2.0))
 
-    async def _judge(self) -> None:
-        """Find jobs that should have ended otherwise, and broken promises."""
+    async def _check_results(self) -> None:
+        """Record jobs with a wrong final state, and violations by the fleet."""
         self.wrong += map(str, self.world.fleet.faults_found)
         process = next(iter(self.world.processes))
         for job_id, queue in self.queues.items():
@@ -133,18 +135,18 @@
                 self.wrong.append(f"{job_id} is {state}")
 
     def _list_allowed(self, job_id: str) -> list[JobState]:
-        """Return how a job may end.
+        """Return the states in which a job may end.
 
-        Operators allow a task to be given up under which two workers have crashed; one
-        that crashes none may be given up only after twice as many.
+        Operators allow a task to fail permanently after two workers have crashed under
+        it; a task that crashes none may fail only after twice as many crashes.
         """
         if job_id in self.crashing:
             return [JobState.FAILED]
-        met = [
+        crash_counts = [
             count
             for task, count in self.world.fleet.crashed_under.items()
             if task.startswith(job_id)
         ]
-        if max(met, default=0) >= INNOCENT_CRASHES:
+        if max(crash_counts, default=0) >= UNRELATED_CRASH_LIMIT:
             return [JobState.COMPLETED, JobState.FAILED]
         return [JobState.COMPLETED]
--- a/features/doubles/drawnday.py
+++ b/features/doubles/drawnday.py
@@ -1,7 +1,7 @@
-"""A drawn day of faults of the store and of owners, and what callers see of it.
+"""A random test of faults of the store and of owners, by the states callers see.
 
-Jobs are handed in twice, cancelled and asked for all the while. What is drawn follows
-the seed; the order of events within one moment may differ between plays.
+Jobs are submitted twice, cancelled and queried throughout. The seed fixes the draws;
+the order of events at one instant may differ between runs.
 """
 
 import asyncio
@@ -19,26 +19,26 @@
 
 QUEUE = "usual"
 JOBS = 25
-TROUBLES = 40
+FAULTS = 40
 STEPS = [
     {"count": 2, "cpu": 1000, "mem_mb": 1000, "gpu": 1},
     {"count": 1, "cpu": 1000, "mem_mb": 1000, "gpu": 1, "after": [0]},
 ]
 TASK_SECONDS = (0.3, 1.0, 2.0)
-# A second call under the same id may come long after the job has ended.
-AGAIN_SECONDS = (0.1, 1.0, 3.0, 6.0, 9.0)
-LINKS = (0.02, 1.0, 1000.0)
-ASK_SECONDS = 0.2
+# A second call under the same id may arrive long after the job has ended.
+RESUBMIT_DELAYS_SECONDS = (0.1, 1.0, 3.0, 6.0, 9.0)
+LINK_MBPS = (0.02, 1.0, 1000.0)
+QUERY_SECONDS = 0.2
 SETTLE_SECONDS = 45.0
 
 
 @dataclass(slots=True)
 class DrawnDay:
-    """One day.
+    """One run of the test.
 
     Attributes:
         shown: The final state that a caller was shown, by job.
-        wrong: What must not be, in words.
+        wrong: The violations found, as texts.
     """
 
     world: FleetWorld
@@ -49,20 +49,20 @@
     wrong: list[str] = field(default_factory=list)
 
     async def play(self) -> None:
-        """Play the day, and judge it."""
+        """Run the test and check its results."""
         async with asyncio.TaskGroup() as tasks:
-            asking = tasks.create_task(self._ask_on())
+            querying = tasks.create_task(self._query_states())
             await self._play_calls()
-            self._end_troubles()
+            self._end_faults()
             await asyncio.sleep(SETTLE_SECONDS)
-            asking.cancel()
-        self._judge()
+            querying.cancel()
+        self._check_results()
 
     async def _play_calls(self) -> None:
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._trouble())
+            tasks.create_task(self._inject_faults())
             for _ in range(JOBS):
-                tasks.create_task(self._hand_in_twice(self._draw_job()))
+                tasks.create_task(self._submit_twice(self._draw_job()))
                 await asyncio.sleep(self.draw.uniform(0.1, 1.2))
 
     def _draw_job(self) -> str:
@@ -79,12 +79,12 @@
         alive = process.task is not None and not process.task.done()
         return process if alive and process.policies.policy else None
 
-    async def _hand_in_twice(self, job_id: str) -> None:
-        await self._hand_in(job_id)
-        await asyncio.sleep(self.draw.choice(AGAIN_SECONDS))
-        await self._hand_in(job_id)
+    async def _submit_twice(self, job_id: str) -> None:
+        await self._submit(job_id)
+        await asyncio.sleep(self.draw.choice(RESUBMIT_DELAYS_SECONDS))
+        await self._submit(job_id)
 
-    async def _hand_in(self, job_id: str) -> None:
+    async def _submit(self, job_id: str) -> None:
         for _ in range(6):
             process = self._draw_process()
             try:
@@ -96,18 +96,18 @@
                 pass
             await asyncio.sleep(0.3)
 
-    async def _ask_on(self) -> None:
+    async def _query_states(self) -> None:
         while True:
-            await asyncio.sleep(ASK_SECONDS)
+            await asyncio.sleep(QUERY_SECONDS)
             for job_id in sorted(self.accepted):
                 process = self._draw_process()
                 try:
                     if process is not None:
-                        await self._ask(process, job_id)
+                        await self._query_state(process, job_id)
                 except Failure:
                     continue
 
-    async def _ask(self, process: Process, job_id: str) -> None:
+    async def _query_state(self, process: Process, job_id: str) -> None:
         state = await self.world.read_state(process.name, job_id, QUEUE)
         before = self.shown.get(job_id, state)
         if state is None or state is not before:
@@ -115,22 +115,22 @@
         elif state.final:
             self.shown[job_id] = state
 
-    async def _trouble(self) -> None:
-        troubles: list[Callable[[], Awaitable[None]]] = [
+    async def _inject_faults(self) -> None:
+        faults: list[Callable[[], Awaitable[None]]] = [
             self._lose_answers,
             self._delay_writes,
             self._drop_history,
             self._kill_owner,
             self._cancel,
             self._take_store_down,
-            self._age_reads,
+            self._toggle_stale_reads,
             self._silence_owner,
             self._change_link,
         ]
-        for _ in range(TROUBLES):
+        for _ in range(FAULTS):
             await asyncio.sleep(self.draw.uniform(0.1, 1.0))
             with contextlib.suppress(Failure):
-                await self.draw.choice(troubles)()
+                await self.draw.choice(faults)()
 
     async def _lose_answers(self) -> None:
         self.world.store.faults.lose_writes += self.draw.randint(1, 3)
@@ -160,7 +160,7 @@
     async def _take_store_down(self) -> None:
         await take_store_down(self.world, self.draw.uniform(0.2, 2.5))
 
-    async def _age_reads(self) -> None:
+    async def _toggle_stale_reads(self) -> None:
         faults = self.world.store.faults
         faults.stale_reads = not faults.stale_reads
 
@@ -173,20 +173,20 @@
 
     async def _change_link(self) -> None:
         name = self.draw.choice(list(self.world.processes))
-        self.world.store.faults.megabits[name] = self.draw.choice(LINKS)
+        self.world.store.faults.megabits[name] = self.draw.choice(LINK_MBPS)
 
-    def _end_troubles(self) -> None:
+    def _end_faults(self) -> None:
         faults = self.world.store.faults
         faults.stale_reads = False
         faults.lose_writes = 0
         faults.late_writes.clear()
         faults.megabits.clear()
 
-    def _judge(self) -> None:
+    def _check_results(self) -> None:
         for job_id in sorted(self.accepted):
             state = self.shown.get(job_id)
-            as_asked = state is JobState.CANCELLED and job_id in self.cancelled
-            if state is not JobState.COMPLETED and not as_asked:
+            as_requested = state is JobState.CANCELLED and job_id in self.cancelled
+            if state is not JobState.COMPLETED and not as_requested:
                 self.wrong.append(f"{job_id} is shown as {state} at the end")
             keys = [
                 entry.key
--- a/features/doubles/fleetworld.py
+++ b/features/doubles/fleetworld.py
@@ -1,4 +1,4 @@
-"""Several processes of ours on a stand-in of the platform, on a paused clock."""
+"""Several of our processes on a stand-in of the platform, on a simulated clock."""
 
 import asyncio
 import json
@@ -38,13 +38,13 @@
 
 POOL = "engine"
 HOST = "queue.example"
-# Urgent, usual and patient work, by the queues' names.
+# Priorities of urgent, usual and low-priority work, by queue name.
 QUEUES = {"urgent": 0, "usual": 1, "patient": 2}
 POLICY_AGE_SECONDS = 1.6
 
 
 def make_address(name: str) -> str:
-    """Return an address of its own for a name."""
+    """Return an address derived from a name."""
     number = zlib.crc32(name.encode())
     return f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:80"
 
@@ -99,12 +99,12 @@
 
 @dataclass(slots=True)
 class Process:
-    """One process of ours.
+    """One of our processes.
 
     Attributes:
-        frozen_for: Added to the clock by which it judges its lease: it was
-            suspended for that long.
-        link: What its VM can carry.
+        frozen_for: Seconds for which it was suspended; added to the clock by which
+            it checks its lease.
+        link: The link and processor of its VM.
     """
 
     name: str
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True)
 class FleetWorld:
-    """The platform's stand-in and the processes on it."""
+    """The platform's stand-in and the processes that use it."""
 
     store: FleetStore = field(default_factory=FleetStore)
     fleet: Fleet = field(default_factory=Fleet)
@@ -134,20 +134,20 @@
         self.vms = FleetVms(self.end_worker, self.begin_worker)
 
     def end_worker(self, name: str) -> None:
-        """End a life of a worker for its VM's upkeep."""
+        """End an incarnation of a worker for its VM's maintenance."""
         self.fleet.workers[name].crash()
         self.store.remove(f"servers/{name}")
 
     def begin_worker(self, vm: str, name: str) -> None:
-        """Begin the next life of a worker on a VM."""
+        """Begin the next incarnation of a worker on a VM."""
         self.add_worker(name, address=make_address(vm))
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Run a coroutine on the paused clock."""
+        """Run a coroutine on the simulated clock."""
         return self.runner.run(work)
 
     def close(self) -> None:
-        """End everything that still runs."""
+        """End all processes."""
 
         async def end() -> None:
             for process in self.processes.values():
@@ -159,15 +159,17 @@
     def add_process(
         self, name: str, processor: float = 1.0, mbps: float = 1000.0
     ) -> Process:
-        """Start a process on a VM of some processor, in cores, and some link."""
+        """Start a process on a VM with a processor in cores and a link in Mbit/s."""
         link = Link()
         store = self.connect(name, link)
         process: Process
 
-        def read_steady() -> float:
+        def read_monotonic() -> float:
             return read_clock() + process.frozen_for
 
-        policies = PolicyWatch(PlatformPolicies(store), POLICY_AGE_SECONDS, read_steady)
+        policies = PolicyWatch(
+            PlatformPolicies(store), POLICY_AGE_SECONDS, read_monotonic
+        )
         calls = self.make_calls(name, link)
 
         async def run_term(term: Term) -> None:
@@ -189,7 +191,11 @@
             policies=policies,
             submitting=JobSubmissions(store, policies, POLICY_KEY),
             election=Election(
-                store, name, run_term, read_steady, find_election_delay(processor, mbps)
+                store,
+                name,
+                run_term,
+                read_monotonic,
+                find_election_delay(processor, mbps),
             ),
             calls=calls,
             link=link,
@@ -199,19 +205,19 @@
         return process
 
     def connect(self, name: str, link: Link) -> TransactionalStore:
-        """Return a process's way to the store."""
+        """Return a process's client of the store."""
         return self.store.connect(name, link)
 
     def make_calls(self, name: str, link: Link) -> WorkerCalls:
-        """Return a process's way to the workers."""
+        """Return a process's client of the workers."""
         return FleetCalls(self.fleet, link)
 
     def start_process(self, process: Process) -> asyncio.Task[Any]:
-        """Let a process run."""
+        """Run a process as a task."""
         return asyncio.get_running_loop().create_task(run_process(process))
 
     async def kill(self, name: str) -> None:
-        """End a process without a word."""
+        """Kill a process."""
         process = self.processes[name]
         if process.task is not None:
             process.task.cancel()
@@ -226,7 +232,7 @@
         labels: tuple[str, ...] = (),
         clock_rate: float = 1.0,
     ) -> FleetWorker:
-        """Add a worker that has written its entry."""
+        """Add a worker and write its entry."""
         address = address or make_address(name)
         self.list_worker(name, address, rack, accelerators, labels)
         entry = PlatformEntry(name, address, rack, accelerators, labels).make()
@@ -255,7 +261,7 @@
         organisation: str = "domes",
         **job: Any,
     ) -> Submission:
-        """Hand a job in; `steps` are as callers write them."""
+        """Submit a job; `steps` are in the callers' format."""
         body = json.dumps({"spec": "", **job}).encode()
 
         def make(policy: Policy) -> Submission:
@@ -268,7 +274,7 @@
     async def read_state(
         self, process: str, job_id: str, queue: str
     ) -> JobState | None:
-        """Return what a caller is shown."""
+        """Return the state that a caller is shown."""
         running = self.processes[process]
         found = running.policies.require().find_queue_by_name(queue)
         assert found is not None, f"no queue {queue}"
@@ -277,7 +283,7 @@
     async def wait_for(
         self, condition: Callable[[], Awaitable[bool] | bool], seconds: float
     ) -> None:
-        """Wait until something holds, on the paused clock."""
+        """Wait until a condition holds, on the simulated clock."""
         until = read_clock() + seconds
         while True:
             holds = condition()
@@ -285,7 +291,7 @@
                 holds = await holds
             if holds:
                 return
-            assert read_clock() < until, f"did not come about within {seconds} s"
+            assert read_clock() < until, f"condition did not hold within {seconds} s"
             await asyncio.sleep(0.02)
 
     async def wait_for_state(
@@ -344,7 +350,7 @@
         return json.dumps(value).encode()
 
     def make(self) -> WorkerEntry:
-        """Return it as our processes see it."""
+        """Return the entry as our processes decode it."""
         from primrosestile.platform.entries import read_worker
         from primrosestile.protocol.store import Entry
 
--- a/features/doubles/longday.py
+++ b/features/doubles/longday.py
@@ -1,4 +1,4 @@
-"""What stands in the store after a long day: many open jobs, many more ended ones."""
+"""Store contents after long use: many open jobs and many more ended ones."""
 
 import asyncio
 import math
@@ -33,12 +33,12 @@
 PAYLOAD = "x" * 3000
 NEED = Need(100, 100, 0)
 TASK_SECONDS = 60.0
-STATUS_KEPT_SECONDS = 120.0
-FIRST_ENDED = 1_000_000
+STATUS_RETENTION_SECONDS = 120.0
+FIRST_ENDED_NUMBER = 1_000_000
 
 
 def spread_id(number: int) -> str:
-    """Return an id; those of successive numbers are spread over all ids."""
+    """Return a job id; successive numbers are spread over the id space."""
     return f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"
 
 
@@ -51,7 +51,7 @@
 
 
 def store_jobs(world: FleetWorld, numbers: Iterable[int], tasks: int) -> list[Entry]:
-    """Write jobs as if they had been accepted."""
+    """Write jobs to the store as if they had been accepted."""
     entries = []
     for number in numbers:
         job_id = spread_id(number)
@@ -70,14 +70,16 @@
 
 
 async def end_jobs(world: FleetWorld, count: int, tasks: int) -> None:
-    """Have an owner write the records of jobs that have run, as it does."""
-    entries = store_jobs(world, range(FIRST_ENDED, FIRST_ENDED + count), tasks)
+    """Write the records of ended jobs with an owner's own recorder."""
+    entries = store_jobs(
+        world, range(FIRST_ENDED_NUMBER, FIRST_ENDED_NUMBER + count), tasks
+    )
     store = world.store.connect("earlier")
     fence = world.store.put(OWNER_KEY, b"")
     term = Term(fence, 0, math.inf, asyncio.Event(), read_clock)
     fleet_state = FleetState(read_policy(Entry("", make_policy(1), 1, 1)), wall=0.0)
     fleet_state.wall = read_wall_clock()
-    ended = EndedJobs(store, term, STATUS_KEPT_SECONDS)
+    ended = EndedJobs(store, term, STATUS_RETENTION_SECONDS)
     recorder = Recorder(store, term, fleet_state, ended)
     writing = asyncio.create_task(recorder.run())
     for entry in entries:
@@ -95,5 +97,5 @@
 
 
 def set_link(world: FleetWorld, process: str, megabits: float) -> None:
-    """Give a process's VM a link of some megabits a second."""
+    """Set the rate of a process's link, in Mbit/s."""
     world.store.faults.megabits[process] = megabits
--- a/features/doubles/restarts.py
+++ b/features/doubles/restarts.py
@@ -1,4 +1,4 @@
-"""Workers that are back some seconds after they crashed, each as another one."""
+"""Restarts of crashed workers some seconds later, each as a new incarnation."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,17 +7,18 @@
 
 from primrosestile_standin.fleetworker import FleetWorker
 
-# The store removes an entry after three heartbeats of silence.
+# The store removes an entry after three missed heartbeats.
 ENTRY_SECONDS = 4.5
 
 
 @dataclass(slots=True)
 class Restarts:
-    """Starts crashed workers again at their address.
+    """Restarts crashed workers at their address.
 
     Attributes:
-        after: Seconds from the crash.
-        dark: Until then the address answers nothing; else it refuses connections.
+        after: Seconds from the crash to the restart.
+        unresponsive: Until then the address answers nothing, instead of refusing
+            connections.
         count: Crashes so far.
     """
 
@@ -27,13 +28,13 @@
     count: int = 0
 
     def crash(self, name: str) -> None:
-        """Crash a worker, by no fault of its tasks."""
+        """Crash a worker for a reason other than its tasks."""
         worker = self.world.fleet.workers[name]
         worker.crash()
         self.follow(worker)
 
     def follow(self, worker: FleetWorker) -> None:
-        """Have the next life of a crashed worker begin in time."""
+        """Schedule the next incarnation of a crashed worker."""
         self.count += 1
         worker.faults.dark = self.dark
         loop = asyncio.get_running_loop()
@@ -52,7 +53,7 @@
 
 
 def make_restarts(world: FleetWorld) -> Restarts:
-    """Have the workers that tasks crash in a world start again."""
+    """Restart the workers that tasks crash in a world."""
     restarts = Restarts(world)
     world.fleet.on_crash = restarts.follow
     return restarts
--- a/features/doubles/troubles.py
+++ b/features/doubles/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that drawn days share."""
+"""Faults that several random tests inject."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 async def take_store_down(world: FleetWorld, seconds: float) -> None:
-    """Let every call to the store fail for a while."""
+    """Make every call to the store fail for some seconds."""
     world.store.faults.down = True
     await asyncio.sleep(seconds)
     world.store.faults.down = False
--- a/features/doubles/worklinks.py
+++ b/features/doubles/worklinks.py
@@ -1,7 +1,7 @@
-"""What lies between one process and the platform: its workers and its store.
+"""The network between one process and the platform's workers and store.
 
-Each process has its own links. A call runs outside of its caller: one that is
-suspended or killed undoes nothing that it has sent, and reads its answer late.
+Each process has its own links. A call runs outside of its caller: a caller that is
+suspended or killed does not undo what it has sent, and reads its answer late.
 """
 
 import asyncio
@@ -34,16 +34,15 @@
 
 ORDER_TIMEOUT_SECONDS = 0.45
 POLL_SLACK_SECONDS = 0.6
-# A way that is slow, within the time that a caller waits.
+# Delay of a slow call, within the caller's timeout.
 SLOW_SECONDS = 0.3
 T = TypeVar("T")
 
 
 class Way(Enum):
-    """What becomes of one call to a worker.
+    """The outcome of one call to a worker.
 
-    Only a call without an answer may be carried out later: one that was refused stays
-    refused.
+    Only an unanswered call may be executed later: a refused one stays refused.
     """
 
     DONE = "done"
@@ -58,14 +57,14 @@
 
 @dataclass(slots=True)
 class WorkLink:
-    """One process's way to the workers.
+    """One process's link to the workers.
 
     Attributes:
-        order_ways: What becomes of its next starts and stops; done when empty.
-        look_ways: Likewise of its next looks.
-        late_seconds: How long after it was sent a late call is carried out.
+        order_ways: The outcomes of its next orders; done when empty.
+        look_ways: The outcomes of its next polls; done when empty.
+        late_seconds: Delay after which a late call is executed.
         cut: Addresses that its calls don't reach.
-        deaf: Addresses whose answers don't come back.
+        deaf: Addresses whose answers are lost.
     """
 
     order_ways: deque[Way] = field(default_factory=deque)
@@ -75,7 +74,7 @@
     deaf: set[str] = field(default_factory=set)
 
     def heal(self) -> None:
-        """Let everything through."""
+        """End all faults of the link."""
         self.order_ways.clear()
         self.look_ways.clear()
         self.cut.clear()
@@ -97,7 +96,7 @@
         until: float | None,
         wait: float,
     ) -> PollAnswer | Refusal:
-        """Look at a worker."""
+        """Poll a worker."""
         return await self._pass(
             entry,
             self._link.look_ways,
@@ -122,7 +121,7 @@
     async def pace(
         self, entry: WorkerEntry, fence: int, task: str, run: int, percent: int
     ) -> OrderAnswer:
-        """Let a run work at a share of its speed."""
+        """Limit a run's speed to a share of its full speed."""
         return await self._order(
             entry, lambda: self._calls.pace(entry, fence, task, run, percent)
         )
@@ -148,7 +147,7 @@
         elif entry.address in self._link.deaf and way is not Way.LATE:
             way = Way.LOST_AFTER
         if way in (Way.LATE, Way.TWICE):
-            carry_out_later(call, self._link.late_seconds)
+            execute_later(call, self._link.late_seconds)
         if way in (Way.LATE, Way.LOST_BEFORE):
             await asyncio.sleep(timeout)
             raise Failure(ErrorKind.WORKER_UNREACHABLE, "no answer came")
@@ -170,10 +169,10 @@
         raise Failure(ErrorKind.WORKER_UNREACHABLE, "no answer came") from None
 
 
-def carry_out_later(call: Callable[[], Awaitable[Any]], seconds: float) -> None:
-    """Make a call on the platform's side after a time; nobody hears its answer."""
+def execute_later(call: Callable[[], Awaitable[Any]], seconds: float) -> None:
+    """Execute a call on the platform's side after a delay; its answer is dropped."""
 
-    async def come_late() -> None:
+    async def execute() -> None:
         await asyncio.sleep(seconds)
         try:
             await call()
@@ -181,11 +180,11 @@
             return
 
     loop = asyncio.get_running_loop()
-    _late.add(task := loop.create_task(come_late(), context=contextvars.Context()))
+    _late.add(task := loop.create_task(execute(), context=contextvars.Context()))
     task.add_done_callback(_late.discard)
 
 
-# The loop itself keeps no task alive.
+# The event loop holds only weak references to its tasks.
 _late: set["asyncio.Task[None]"] = set()
 
 
@@ -209,7 +208,7 @@
         writes: Sequence[Write] = (),
         removals: Sequence[str] = (),
     ) -> CommitResult:
-        """Make a change if all of its conditions hold."""
+        """Apply a transaction if all of its conditions hold."""
         return await run_outside(
             lambda: self._store.commit(conditions, writes, removals)
         )
@@ -223,5 +222,5 @@
         return await run_outside(lambda: self._store.keep_lease(lease))
 
     async def watch_once(self, prefix: str, after: int, seconds: float) -> WatchBatch:
-        """Return changes after a revision, as soon as there is one."""
+        """Return the changes after a revision, as soon as there is one."""
         return await run_outside(lambda: self._store.watch_once(prefix, after, seconds))
--- a/features/doubles/workworld.py
+++ b/features/doubles/workworld.py
@@ -1,4 +1,4 @@
-"""Processes, a store and a fleet on one paused clock, in trouble; what must hold."""
+"""Processes, store and fleet on one simulated clock, with faults and invariants."""
 
 import asyncio
 import json
@@ -43,28 +43,28 @@
 ACCELERATORS = 4
 QUEUE = "usual"
 ORGANISATION = "domes"
-# How long the entry of a life that is over still stands: three heartbeats.
-FORMER_ENTRY_SECONDS = 4.5
-# How long an ended job is known at least.
-STATUS_KEPT_SECONDS = 120.0
-# After every fault has ended: a change of owner, the wait for what can't be asked
-# (16.2 s), then four jobs, of which one takes up to 40 s and the others 12 s, one after
-# another, and as much again.
+# The entry of an ended incarnation stays listed for three heartbeats.
+STALE_ENTRY_SECONDS = 4.5
+# Minimum retention of an ended job's status.
+STATUS_RETENTION_SECONDS = 120.0
+# After the end of all faults: a change of owner, the wait for unreachable workers
+# (16.2 s), then four jobs in sequence, one of up to 40 s and the others of 12 s, and
+# the same time again.
 SETTLE_SECONDS = 180.0
-# A job whose caller was not told that it was accepted may run when all others have
-# ended: two steps of up to 40 s, after the wait for what can't be asked (16.2 s).
+# A job without an answer to its submission may run after all others have ended: two
+# steps of up to 40 s, after the wait for unreachable workers (16.2 s).
 IDLE_SECONDS = 120.0
 SETTLE_STEP_SECONDS = 5.0
 
 
 @dataclass(slots=True)
 class Job:
-    """A job that a caller handed in.
+    """A job that a caller submitted.
 
     Attributes:
-        units: Its tasks; those of a gang are together.
-        accepted: Its caller was told so; not while the call lasts, or if unknown.
-        cancelled: A cancellation was sent, whatever became of it.
+        units: Its tasks; those of a gang are one unit.
+        accepted: Its caller got the answer; false during the call, or if unknown.
+        cancelled: A cancellation was sent, whatever its outcome.
         ended_at: When it was first seen to have ended.
     """
 
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Seat:
-    """Where a process runs, and its way to the workers."""
+    """A process's simulated machine, and its link to the workers."""
 
     machine: SimulatedProcess
     link: WorkLink
@@ -90,13 +90,13 @@
     runner: Any = field(default_factory=PausedRunner)
     seats: dict[str, Seat] = field(default_factory=dict)
     jobs: list[Job] = field(default_factory=list)
-    lives: int = 0
+    incarnations: int = 0
     version: int = 1
     serving: dict[str, FleetWorker] = field(default_factory=dict)
     _calls: list["asyncio.Task[None]"] = field(default_factory=list)
 
     def begin(self) -> None:
-        """Start workers and processes, and let an owner gain the fleet."""
+        """Start workers and processes, and wait until one is the owner."""
 
         async def build() -> None:
             self.store.put(POLICY_KEY, make_policy(1))
@@ -109,11 +109,11 @@
         self.advance(1.5)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulated clock."""
         self.run(asyncio.sleep(seconds))
 
     def do(self, action: Any, *args: Any) -> Any:
-        """Call something while the loop runs."""
+        """Call a function while the loop runs."""
 
         async def call() -> Any:
             return action(*args)
@@ -127,24 +127,24 @@
     # Processes.
 
     def connect(self, name: str, link: Link) -> TransactionalStore:
-        """Return a process's way to the store."""
+        """Return a process's client of the store."""
         return LinkedStore(self.store.connect(name, link))
 
     def make_calls(self, name: str, link: Link) -> WorkerCalls:
-        """Return a process's way to the workers."""
+        """Return a process's client of the workers."""
         return LinkedCalls(FleetCalls(self.fleet, link), self.seats[name].link)
 
     def start_process(self, process: Process) -> "asyncio.Task[Any]":
-        """Let a process run on its own machine."""
+        """Run a process as a simulated process."""
         return self.seats[process.name].machine.start(run_process(process))
 
     def start(self, name: str) -> None:
-        """Start a process, or the next life of one."""
+        """Start a process, or restart it."""
         self.seats[name] = Seat(SimulatedProcess(name), WorkLink())
         self.add_process(name)
 
     def kill_process(self, name: str) -> None:
-        """End a process without a word."""
+        """Kill a process."""
         self.seats[name].machine.kill()
 
     def find_running(self) -> list[str]:
@@ -165,40 +165,40 @@
     # Workers.
 
     def start_life(self, vm: str, clock_rate: float = 1.0, name: str = "") -> str:
-        """Start the next life of a worker on a VM; return its name."""
-        self.lives += 1
-        # The name of a next life may come before or after that of the former one.
-        name = name or f"{(self.lives * 617) % 997:03d}-{vm}"
+        """Start the next incarnation of a worker on a VM; return its name."""
+        self.incarnations += 1
+        # The next incarnation's name may sort before or after the previous one.
+        name = name or f"{(self.incarnations * 617) % 997:03d}-{vm}"
         worker = self.add_worker(
             name, make_address(vm), accelerators=ACCELERATORS, clock_rate=clock_rate
         )
         self.serving[vm] = worker
         return name
 
-    def crash(self, vm: str, listed_for: float = FORMER_ENTRY_SECONDS) -> None:
-        """End a worker's life; its entry stands for a time."""
+    def crash(self, vm: str, listed_for: float = STALE_ENTRY_SECONDS) -> None:
+        """Crash a worker; its entry stays listed for some seconds."""
         worker = self.serving[vm]
         worker.crash()
         key = f"servers/{worker.entry.worker}"
         asyncio.get_running_loop().call_later(listed_for, self.store.remove, key)
 
     def restart_life(self, vm: str, clock_rate: float = 1.0) -> None:
-        """Start the next life on a VM whose worker is down."""
+        """Start the next incarnation on a VM whose worker is down."""
         if not self.serving[vm].alive:
             self.start_life(vm, clock_rate)
 
     def replace_leaving(self, vm: str) -> None:
-        """Let a worker that has said that it leaves be gone."""
+        """End a worker that has announced that it leaves."""
         entry = self.store.read(f"servers/{self.serving[vm].entry.worker}")
         if entry is not None and b"draining" in entry.value:
             self.crash(vm, listed_for=0.0)
 
     def list_foreign(self, name: str, vm: str) -> None:
-        """Write an entry of another writer that names a VM's address."""
+        """Write another writer's entry that names a VM's address."""
         self.list_worker(name, make_address(vm), accelerators=ACCELERATORS)
 
     def list_state(self, vm: str, state: str) -> None:
-        """Write a worker's own entry anew."""
+        """Rewrite a worker's own entry."""
         worker = self.serving[vm]
         if worker.alive:
             name = worker.entry.worker
@@ -210,7 +210,7 @@
     def hand_in(
         self, process: str, seconds: float, steps: list[dict[str, Any]]
     ) -> None:
-        """Hand a job in at a process, and don't wait for the answer."""
+        """Submit a job to a process, without waiting for the answer."""
         job = Job(f"{len(self.jobs) + 1:016x}")
         self.jobs.append(job)
         for number, step in enumerate(steps):
@@ -238,7 +238,7 @@
         self._call(process, submit())
 
     def cancel(self, process: str, index: int) -> None:
-        """Ask for a job's end at a process."""
+        """Send a job's cancellation to a process."""
         job = self.jobs[index]
         job.cancelled = True
 
@@ -270,15 +270,15 @@
         self.store.put(POLICY_KEY, policy)
 
     def overwrite_entry(self, vm: str, value: bytes) -> None:
-        """Write over a live worker's own entry."""
+        """Overwrite a live worker's own entry."""
         worker = self.serving[vm]
         if worker.alive:
             self.store.put(f"servers/{worker.entry.worker}", value)
 
-    # The end of all trouble.
+    # The end of all faults.
 
     def heal(self) -> None:
-        """End every fault; what is down is started again."""
+        """End every fault, and restart what is down."""
 
         async def heal() -> None:
             self.store.faults = type(self.store.faults)()
@@ -286,7 +286,7 @@
                 self.replace_leaving(vm)
                 self.restart_life(vm)
                 self.serving[vm].faults = type(self.serving[vm].faults)()
-                # What another writer left there goes with the next heartbeat.
+                # A foreign entry is overwritten by the next heartbeat.
                 self.list_state(vm, "ready")
             self.change_policy(attempts=2, queues=None)
             for name, seat in list(self.seats.items()):
@@ -298,14 +298,14 @@
         self.run(heal())
 
     def list_running(self) -> list[str]:
-        """Return what runs on workers that are up."""
+        """Return the tasks that run on live workers."""
         alive = [worker for worker in self.fleet.workers.values() if worker.alive]
         for worker in alive:
             worker.sweep()
         return [task for worker in alive for task in worker.runs]
 
     def settle(self) -> None:
-        """Wait until every accepted job has ended, but not for long."""
+        """Wait until every accepted job has ended, at most SETTLE_SECONDS."""
         waited = 0.0
         while waited < SETTLE_SECONDS and self.find_open():
             self.advance(SETTLE_STEP_SECONDS)
@@ -313,7 +313,7 @@
             waited += SETTLE_STEP_SECONDS
 
     def read_job(self, job: Job) -> JobState | None:
-        """Return how far the store says that a job is; None if it knows none."""
+        """Return a job's state by the store; None if it has no record."""
         entry = self.store.read(make_progress_key(job.job_id))
         if entry is not None:
             return decode_progress(entry.value).state
@@ -324,15 +324,15 @@
         return JobState.QUEUED if known is not None else None
 
     def find_open(self) -> list[str]:
-        """Return the accepted jobs that have not ended; each one must be known."""
+        """Return the open accepted jobs; a missing record is an error."""
         return [job.job_id for job in self.jobs if job.accepted and self._is_open(job)]
 
     def _is_open(self, job: Job) -> bool:
         state = self.do(self.read_job, job)
         if state is None:
-            kept_for = self.runner.now - (job.ended_at or self.runner.now)
-            assert kept_for >= STATUS_KEPT_SECONDS, (
-                f"{job.job_id} is not known any more"
+            known_for = self.runner.now - (job.ended_at or self.runner.now)
+            assert known_for >= STATUS_RETENTION_SECONDS, (
+                f"{job.job_id} has no record any more"
             )
             return False
         if state.final and job.ended_at is None:
@@ -341,7 +341,7 @@
 
 
 def _find_queue(policy: Policy) -> Queue:
-    """Return the queue of all jobs; operators may have taken it away."""
+    """Return the queue of all jobs; operators may have removed it."""
     queue = policy.find_queue_by_name(QUEUE)
     if queue is None:
         raise Failure(ErrorKind.NOT_FOUND, "no such queue")
@@ -349,24 +349,24 @@
 
 
 def _encode_job(steps: list[dict[str, Any]]) -> bytes:
-    filled = [
+    with_defaults = [
         {"cpu": 1000, "mem_mb": 1000, "gpu": 1, "estimate_ms": 2000, **step}
         for step in steps
     ]
-    return json.dumps({"spec": "", "steps": filled}).encode()
+    return json.dumps({"spec": "", "steps": with_defaults}).encode()
 
 
 def check_ledger(world: WorkWorld) -> None:
-    """No run of a task beside another or after an end that counts; no job forgotten."""
+    """Check for concurrent or repeated runs of a task, and for lost jobs."""
     world.find_open()
     assert not world.fleet.faults_found, world.fleet.faults_found
 
 
 def check_ended(world: WorkWorld) -> None:
-    """Every accepted job that nobody cancelled has ended well, and nothing is left."""
+    """Check that every accepted job not cancelled succeeded, and that no task runs."""
     world.settle()
     open_jobs = world.find_open()
-    assert not open_jobs, f"not ended {SETTLE_SECONDS:.0f} s after all trouble"
+    assert not open_jobs, f"not ended {SETTLE_SECONDS:.0f} s after the last fault"
     for job in world.jobs:
         if job.accepted and not job.cancelled:
             state = world.do(world.read_job, job)
@@ -376,11 +376,11 @@
     while (left := world.do(world.list_running)) and waited < IDLE_SECONDS:
         world.advance(SETTLE_STEP_SECONDS)
         waited += SETTLE_STEP_SECONDS
-    assert not left, f"{left} run on when every job has ended"
+    assert not left, f"{left} still run after every job has ended"
 
 
 def check_units(world: WorkWorld, job: Job) -> None:
-    """Every task of a job that completed has ended well, or its gang has."""
-    well = {task for task, _, kind in world.fleet.ends if kind is EndKind.DONE}
+    """Check that every task of a completed job, or its gang, succeeded."""
+    succeeded = {task for task, _, kind in world.fleet.ends if kind is EndKind.DONE}
     for unit in job.units:
-        assert well.intersection(unit), f"{unit} never ended well"
+        assert succeeded.intersection(unit), f"{unit} never succeeded"
