--- a/features/steps/work_capacity_steps.py
+++ b/features/steps/work_capacity_steps.py
@@ -1,4 +1,4 @@
-"""Steps for workers whose capacity changes, and that start whatever they are told."""
+"""Steps for workers whose capacity changes and that refuse no start."""
 
 import asyncio
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 @given("no worker refuses what does not fit")
-def step_unguarded(context: Any) -> None:
+def step_unchecked(context: Any) -> None:
     for worker in context.world.fleet.workers.values():
         worker.faults.unguarded = True
 
@@ -34,9 +34,9 @@
     context.world.run(change())
 
 
-@when("the store goes away as soon as a start of {name} is recorded")
-def step_away_at_start(context: Any, name: str) -> None:
-    """Let the store fail from the first record of a job's progress on."""
+@when("the store goes down as soon as a start of {name} is recorded")
+def step_down_at_start(context: Any, name: str) -> None:
+    """Take the store down at the first write of a job's progress record."""
     store = context.world.store
     key = make_progress_key(make_id(name))
     apply = store.apply
--- a/features/steps/work_cordons_steps.py
+++ b/features/steps/work_cordons_steps.py
@@ -1,4 +1,4 @@
-"""Steps for operators who empty a failure domain of workers."""
+"""Steps for operators who cordon a failure domain of workers."""
 
 from typing import Any
 
--- a/features/steps/work_election_steps.py
+++ b/features/steps/work_election_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the processes that wait for the ownership."""
+"""Steps for elections and the processes that watch the owner's key."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.keys import OWNER_KEY
 
-STEP_SECONDS = 0.02
+SAMPLE_SECONDS = 0.02
 FROZEN_SECONDS = 4.0
 SEED = 20_611
 
@@ -47,7 +47,7 @@
     context.world.run(leave())
 
 
-@when("the store takes {more:g} s longer over each call for {seconds:g} s")
+@when("the store takes {more:g} s longer for each call for {seconds:g} s")
 def step_slow_store(context: Any, more: float, seconds: float) -> None:
     context.world.store.faults.slow_seconds = more
     watch_owner(context, seconds)
@@ -60,13 +60,13 @@
 
 
 def watch_owner(context: Any, seconds: float) -> None:
-    """Note who may give orders, moment by moment."""
+    """Record at short intervals which process may give orders."""
 
     async def watch() -> None:
-        # What was on its way when the trouble began is over by then.
+        # Calls that were under way when the fault began have ended by then.
         await asyncio.sleep(1.0)
-        for _ in range(round(seconds / STEP_SECONDS)):
-            await asyncio.sleep(STEP_SECONDS)
+        for _ in range(round(seconds / SAMPLE_SECONDS)):
+            await asyncio.sleep(SAMPLE_SECONDS)
             owner = context.world.find_owner()
             context.owners.append(owner.name if owner else "")
             term = owner.election.term if owner else None
@@ -83,7 +83,7 @@
     assert len(set(context.owners)) == 1, (set(context.owners), missing)
 
 
-@then("it had no doubt of the store but at most {most:g} of that time")
+@then("it doubted the store for at most {most:g} of that time")
 def step_doubt(context: Any, most: float) -> None:
     share = context.doubtful / len(context.owners)
     assert share <= most, share
@@ -117,29 +117,29 @@
     world.store.faults.silent.add(owner.name)
 
 
-async def turn_away(world: FleetWorld, owner: Process) -> None:
+async def refuse(world: FleetWorld, owner: Process) -> None:
     world.store.faults.refused.add(owner.name)
 
 
-WAYS = (kill, leave, freeze, cut_off, turn_away)
+REMOVALS = (kill, leave, freeze, cut_off, refuse)
 
 
-@when("{count:d} owners in turn die, leave, freeze, are cut off or turned away")
-def step_owners_go(context: Any, count: int) -> None:
+@when("{count:d} owners in turn die, leave, freeze, are cut off or refused")
+def step_replace_owners(context: Any, count: int) -> None:
     world: FleetWorld = context.world
-    chance = random.Random(SEED)
+    rng = random.Random(SEED)
     context.absences = []
 
     async def replace_one(number: int) -> None:
-        await world.wait_for(lambda: is_at_work(world, ""), 10.0)
-        await asyncio.sleep(chance.uniform(1.0, 3.0))
+        await world.wait_for(lambda: has_acquired_workers(world, ""), 10.0)
+        await asyncio.sleep(rng.uniform(1.0, 3.0))
         owner = world.find_owner()
         assert owner is not None
-        way = WAYS[number % len(WAYS)]
+        remove = REMOVALS[number % len(REMOVALS)]
         gone_at = read_clock()
-        await way(world, owner)
-        await world.wait_for(lambda: is_at_work(world, owner.name), 10.0)
-        context.absences.append((round(read_clock() - gone_at, 2), way.__name__))
+        await remove(world, owner)
+        await world.wait_for(lambda: has_acquired_workers(world, owner.name), 10.0)
+        context.absences.append((round(read_clock() - gone_at, 2), remove.__name__))
         world.store.faults.silent.discard(owner.name)
         world.store.faults.refused.discard(owner.name)
         await world.kill(owner.name)
@@ -152,8 +152,8 @@
     world.run(replace_all())
 
 
-def is_at_work(world: FleetWorld, former: str) -> bool:
-    """Whether an owner that is not the former one has workers in hand."""
+def has_acquired_workers(world: FleetWorld, former: str) -> bool:
+    """Whether an owner other than the former one has acquired workers."""
     for process in world.processes.values():
         term = process.election.term
         acts = term is not None and term.may_act() and process.name != former
@@ -162,7 +162,7 @@
     return False
 
 
-@then("none was missed for more than {most:g} s")
+@then("no absence lasted more than {most:g} s")
 def step_absence(context: Any, most: float) -> None:
     absences = sorted(context.absences)
     assert absences[-1][0] <= most, absences
--- a/features/steps/work_reading_steps.py
+++ b/features/steps/work_reading_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what an owner reads: at its start, after a lost watch, of ended jobs."""
+"""Steps for an owner's reads: at its start, after a lost watch, of ended jobs."""
 
 import asyncio
 import json
@@ -87,7 +87,7 @@
 
 
 async def read_jobs(context: Any) -> list[Entry]:
-    """Read the open jobs; count the calls of it."""
+    """Read the open jobs and count the calls."""
     before = context.world.store.calls
     try:
         entries, _ = await context.reader.read(JOBS_PREFIX)
@@ -154,7 +154,7 @@
 
 
 @when("an open job that runs is cancelled as the store drops its history")
-def step_cancel_unheard(context: Any) -> None:
+def step_cancel_compact(context: Any) -> None:
     world: FleetWorld = context.world
 
     async def cancel() -> None:
@@ -178,19 +178,19 @@
     context.world.run(compact())
 
 
-@when("the watches of the store hear nothing")
-def step_deaf(context: Any) -> None:
+@when("the watches of the store are silent")
+def step_silent_watches(context: Any) -> None:
     context.world.store.faults.deaf_watches = True
 
 
 @then("the job that was cancelled has stopped within {seconds:g} s")
 def step_stopped(context: Any, seconds: float) -> None:
-    async def look() -> None:
+    async def check() -> None:
         await asyncio.sleep(seconds)
         running = list_running(context.world, context.job_id)
         assert not running, running
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 def list_keys(world: FleetWorld, job_id: str) -> list[str]:
@@ -198,27 +198,27 @@
     return [entry.key for entry in page.entries if job_id in entry.key]
 
 
-@then("nothing but the end of {name} stands in the store")
+@then("the store has nothing but the end record of {name}")
 def step_only_end(context: Any, name: str) -> None:
     job_id = make_id(name)
 
-    async def look() -> None:
+    async def check() -> None:
         await asyncio.sleep(0.5)
         keys = list_keys(context.world, job_id)
         assert keys == [ENDED_PREFIX + job_id], keys
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @then("the end of {name} has its time")
 def step_end_time(context: Any, name: str) -> None:
-    async def look() -> None:
+    async def check() -> None:
         entry = context.world.store.read(ENDED_PREFIX + make_id(name))
         assert entry is not None
         age = read_wall_clock() - decode_ended(entry.value).ended_at
         assert 0 <= age < 60, age
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @when("the time of day of the others is {seconds:g} s ahead")
@@ -257,23 +257,23 @@
 )
 def step_keyless(context: Any, first: str, second: str) -> None:
     for name in (first, second):
-        leave_one_out(context.world.processes[name])
+        skip_one_item(context.world.processes[name])
 
 
-def leave_one_out(process: Process) -> None:
-    """Let the first item of the next list of records not be told from others."""
+def skip_one_item(process: Process) -> None:
+    """Make the first item of the next list of records unreadable."""
     client: Any = process.election._store
     read_list = client.list
     left = [1]
 
-    async def list_in_part(prefix: str, after: str = "") -> Page:
+    async def list_without_first(prefix: str, after: str = "") -> Page:
         page: Page = await read_list(prefix, after)
         if not prefix.startswith(PROGRESS_PREFIX) or not left[0] or not page.entries:
             return page
         left[0] -= 1
         return replace(page, entries=page.entries[1:], left_out=1)
 
-    client.list = list_in_part
+    client.list = list_without_first
 
 
 @given("what the processes log is kept")
@@ -289,22 +289,22 @@
     assert context.world.run(ask) is None
 
 
-@then("the log tells of {name} in this order")
+@then("the log has these events of {name} in this order")
 def step_log_order(context: Any, name: str) -> None:
     expected = [row["event"] for row in context.table]
-    told = [
+    events = [
         line["event"] for line in context.log if line.get("job_id") == make_id(name)
     ]
-    assert [event for event in told if event in expected] == expected, told
+    assert [event for event in events if event in expected] == expected, events
 
 
-@then("nothing of {name} stands in the store")
+@then("the store has nothing of {name}")
 def step_nothing_left(context: Any, name: str) -> None:
-    async def look() -> None:
+    async def check() -> None:
         keys = list_keys(context.world, make_id(name))
         assert not keys, keys
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @given("reads that may be old show nothing")
@@ -319,14 +319,14 @@
     key = ENDED_PREFIX + make_id(name)
     left = [1]
 
-    def apply_unheard(conditions: Any, writes: Any, removals: Any) -> Any:
+    def apply_and_lose(conditions: Any, writes: Any, removals: Any) -> Any:
         outcome = apply(conditions, writes, removals)
         if left[0] and any(write.key == key for write in writes):
             left[0] = 0
             raise Failure(ErrorKind.STORE_ANSWER_LOST, "lost")
         return outcome
 
-    world.store.apply = apply_unheard  # type: ignore[method-assign]
+    world.store.apply = apply_and_lose  # type: ignore[method-assign]
 
 
 @given("from now on lists show every job that was ever there")
@@ -347,14 +347,14 @@
     world.store.read_page = read_all  # type: ignore[method-assign]
 
 
-@then("the owner knows of no open job")
+@then("the owner has no open job")
 def step_no_job(context: Any) -> None:
-    async def look() -> None:
+    async def check() -> None:
         owner = context.world.find_owner()
         assert owner is not None and owner.scheduler is not None
         assert not owner.scheduler.fleet_state.jobs, owner.scheduler.fleet_state.jobs
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @when("worker {name} is cut off for {seconds:g} s while job {job} is cancelled")
@@ -378,7 +378,7 @@
     world.run(cancel())
 
 
-@given("records that nobody can read stand in the store")
+@given("unreadable records are in the store")
 def step_foreign(context: Any) -> None:
     prefixes = (JOBS_PREFIX, CANCELS_PREFIX, PROGRESS_PREFIX, ENDED_PREFIX)
     foreign = spread_id(77)
@@ -392,13 +392,13 @@
     context.world.run(put())
 
 
-@given("a job whose progress nobody can read")
+@given("a job whose progress record is unreadable")
 def step_foreign_progress(context: Any) -> None:
     async def put() -> None:
         store_jobs(context.world, [78], 1)
         key = make_progress_key(spread_id(78))
         context.world.store.put(key, FOREIGN)
-        # Its owner had started it before the record was written over.
+        # Its owner had started it before the record was overwritten.
         context.world.store.remove(make_waiting_key(spread_id(78)))
         context.foreign += [key, make_job_key(spread_id(78))]
 
@@ -410,13 +410,13 @@
     assert len(context.world.fleet.starts) == 1, context.world.fleet.starts
 
 
-@then("the records that nobody can read still stand there")
+@then("the unreadable records are still in the store")
 def step_still_there(context: Any) -> None:
-    async def look() -> None:
+    async def check() -> None:
         gone = [key for key in context.foreign if context.world.store.read(key) is None]
         assert not gone, gone
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @when("{count:d} callers ask {process} for the number of waiting jobs at once")
@@ -425,7 +425,7 @@
     read_page = world.store.read_page
     context.reads = []
 
-    def note_page(prefix: str, after: str) -> Page:
+    def record_page(prefix: str, after: str) -> Page:
         if prefix == WAITING_PREFIX and not after:
             context.reads.append(prefix)
         return read_page(prefix, after)
@@ -437,7 +437,7 @@
         asked = [running.submitting.count_pending(queue) for _ in range(count)]
         return await asyncio.gather(*asked)
 
-    world.store.read_page = note_page  # type: ignore[method-assign]
+    world.store.read_page = record_page  # type: ignore[method-assign]
     before = world.store.bytes_listed[process]
     context.counts = world.run(ask())
     context.read = world.store.bytes_listed[process] - before
@@ -460,7 +460,7 @@
     context.world.run(context.day.play())
 
 
-@then("every job was shown truly, ran once and left one record")
-def step_judge_day(context: Any) -> None:
-    assert len(context.day.accepted) > JOBS / 2, "hardly any job was accepted"
+@then("every job was shown correctly, ran once and left one record")
+def step_check_day(context: Any) -> None:
+    assert len(context.day.accepted) > JOBS / 2, "too few jobs were accepted"
     assert not context.day.wrong, "\n".join(context.day.wrong)
--- a/features/steps/work_review_steps.py
+++ b/features/steps/work_review_steps.py
@@ -1,4 +1,4 @@
-"""Steps for false proofs: orders of events after which something counts as gone."""
+"""Steps for sequences of events that could be taken as false proof of an end."""
 
 import asyncio
 from typing import Any
@@ -17,15 +17,17 @@
 ANSWER_SECONDS = 0.005
 
 
-@given("upkeep orders for {vm} are refused for {seconds:g} s once it is back")
+@given("maintenance orders for {vm} are refused for {seconds:g} s once it is back")
 def step_refused(context: Any, vm: str, seconds: float) -> None:
     vms = context.world.vms
     begin = vms.begin
     back_at: list[float] = []
 
     async def begin_or_refuse(name: str, wave: int, fence: int) -> MaintenanceAnswer:
-        life = next(each.worker for each in await vms.list_vms() if each.name == name)
-        if name != vm or not life.endswith("+"):
+        incarnation = next(
+            each.worker for each in await vms.list_vms() if each.name == name
+        )
+        if name != vm or not incarnation.endswith("+"):
             return await begin(name, wave, fence)
         if not back_at:
             back_at.append(read_clock())
@@ -36,13 +38,13 @@
     vms.begin = begin_or_refuse
 
 
-@when("operators ask for the upkeep of {vm} within {seconds:d} s")
+@when("operators ask for maintenance of {vm} within {seconds:d} s")
 def step_wave_of_one(context: Any, vm: str, seconds: int) -> None:
     waves = context.world.vms.waves
     waves.append(Wave(8 + len(waves), (vm,), float(seconds), 1))
 
 
-@given("upkeep orders of wave {number:d} are lost on their way")
+@given("maintenance orders of wave {number:d} are lost on their way")
 def step_lost_orders(context: Any, number: int) -> None:
     vms = context.world.vms
     begin = vms.begin
@@ -55,17 +57,17 @@
     vms.begin = begin_or_lose
 
 
-@then("wave {number:d} is said to be completed")
+@then("wave {number:d} is reported as completed")
 def step_is_completed(context: Any, number: int) -> None:
     assert number in context.world.vms.completed, context.world.vms.completed
 
 
-@then("wave {number:d} is not said to be completed")
+@then("wave {number:d} is not reported as completed")
 def step_not_completed(context: Any, number: int) -> None:
     assert number not in context.world.vms.completed, context.world.vms.completed
 
 
-@when("worker {name} is new in the list")
+@when("worker {name} is added to the list")
 def step_new_worker(context: Any, name: str) -> None:
     async def add() -> None:
         context.world.add_worker(name)
@@ -73,9 +75,9 @@
     context.world.run(add())
 
 
-@given("while records are removed the store drops its history and answers late")
+@given("the store drops its history and answers late while records are removed")
 def step_slow_lists(context: Any) -> None:
-    """Let the list of jobs be read just before a removal, and come just after."""
+    """Let the list of jobs be read just before a removal and returned just after."""
     world = context.world
     owner = world.processes["p1"]
     assert owner.scheduler is not None
@@ -90,7 +92,7 @@
 
     async def commit_late(*change: Any, **named: Any) -> Any:
         if any(key.startswith(make_job_key("")) for key in named.get("removals", ())):
-            # What others write moves the revision past the one that was watched.
+            # Another client's write moves the revision past the watched one.
             world.store.put("learned/elsewhere", b"")
             world.store.compact()
             await asyncio.sleep(ANSWER_SECONDS / 2)
@@ -104,14 +106,14 @@
     world = context.world
     job = make_id(name)
 
-    async def look() -> None:
+    async def check() -> None:
         before = len([1 for task, _, _ in world.fleet.starts if task.startswith(job)])
         await asyncio.sleep(seconds)
         now = len([1 for task, _, _ in world.fleet.starts if task.startswith(job)])
         assert before and now == before, f"{name}: {before} starts, then {now}"
         assert not list_running(world, job)
 
-    world.run(look())
+    world.run(check())
 
 
 @when("version {version:d} of the configuration has {queues}")
--- a/features/steps/work_services_steps.py
+++ b/features/steps/work_services_steps.py
@@ -1,4 +1,4 @@
-"""Steps for services, filling work and advised queues on the stand-in."""
+"""Steps for services, best-effort work and advised queues on the stand-in."""
 
 import asyncio
 from typing import Any
@@ -13,10 +13,10 @@
 
 SERVICE = make_id("service")
 BATCH = make_id("batch")
-LOOK_SECONDS = 0.05
+SAMPLE_SECONDS = 0.05
 FOREVER = 10_000.0
-# Those since the owner died, 12 s before; the next one stands after about 2 s.
-LATEST_LOOKS = 220
+# Samples since the owner died 12 s ago; the next owner acts after about 2 s.
+LATEST_SAMPLES = 220
 SERVICE_STEP = {"count": 1, "cpu": 1000, "mem_mb": 100, "daemon": True}
 
 
@@ -36,7 +36,7 @@
 
 
 @when(
-    "a service with a target of {target:d} ms and batch work that fills beside it run"
+    "a service with a target of {target:d} ms and best-effort batch work beside it run"
 )
 def step_service_and_batch(context: Any, target: int) -> None:
     context.over = 0.0
@@ -48,10 +48,10 @@
 
 
 async def watch(context: Any) -> None:
-    """Note how long on end the service is over its target."""
+    """Record the longest time without a break that the service is over its target."""
     since = None
     while True:
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(SAMPLE_SECONDS)
         for worker in context.world.fleet.workers.values():
             for run in worker.runs.values():
                 if run.script.serves:
@@ -76,8 +76,8 @@
 
 
 @then("the speed of the batch work is chosen anew")
-def step_chosen_anew(context: Any) -> None:
-    latest = set(context.paces[-LATEST_LOOKS:])
+def step_speed_changed(context: Any) -> None:
+    latest = set(context.paces[-LATEST_SAMPLES:])
     assert len(latest) > 1, latest
 
 
--- a/features/steps/work_slow_owner_steps.py
+++ b/features/steps/work_slow_owner_steps.py
@@ -1,4 +1,4 @@
-"""Steps for owners that can't do their work."""
+"""Steps for owners that can't schedule."""
 
 import asyncio
 from dataclasses import replace
@@ -22,12 +22,12 @@
 )
 from primrosestile.state.work import JobState
 
-# What sixty times the store's usual time for a call adds.
+# Added to the store's usual time for a call, this makes it sixty times as long.
 SLOW_STORE_SECONDS = 0.24
 
 
 def take_owner(context: Any) -> Process:
-    """Return the owner, and remember it as the one that others replace."""
+    """Return the owner and keep its name as that of the replaced one."""
     owner = context.world.find_owner()
     assert owner is not None, "no process schedules"
     context.dead = owner.name
@@ -35,7 +35,7 @@
 
 
 def find_other(context: Any) -> Process:
-    """Return a process that is alive and is not the troubled owner."""
+    """Return a live process other than the impaired owner."""
     return next(
         process
         for process in context.world.processes.values()
@@ -53,7 +53,9 @@
     context.world.run(slow())
 
 
-@when("the processor of the scheduling process takes {seconds:g} s over an answer")
+@when(
+    "the processor of the scheduling process takes {seconds:g} s to process an answer"
+)
 def step_processor(context: Any, seconds: float) -> None:
     async def slow() -> None:
         take_owner(context).link.call_seconds = seconds
@@ -69,8 +71,8 @@
     context.world.run(lose())
 
 
-@when("the scheduling process can't read wishes")
-def step_unread(context: Any) -> None:
+@when("the scheduling process can't read caller requests")
+def step_unread_requests(context: Any) -> None:
     async def fail() -> None:
         name = take_owner(context).name
         context.world.store.faults.unread[name] = CALLER_REQUESTS_PREFIX
@@ -83,7 +85,7 @@
     async def refuse() -> None:
         name = take_owner(context).name
         faults = context.world.store.faults
-        named = faults.refused if refuses == "turns away" else faults.silent
+        named = faults.refused if refuses == "refuses" else faults.silent
         named.add(name)
 
     context.world.run(refuse())
@@ -95,9 +97,9 @@
     assert not [task for task in ends if task.startswith(make_id(name))], ends
 
 
-@when("it can read wishes again")
+@when("it can read caller requests again")
 def step_read_again(context: Any) -> None:
-    context.gave_up = context.dead
+    context.resigned = context.dead
     context.world.store.faults.unread.clear()
 
 
@@ -132,7 +134,7 @@
 
 
 @when(
-    "the scheduling process can't read wishes for {seconds:g} s,"
+    "the scheduling process can't read caller requests for {seconds:g} s,"
     " and {name} is cancelled after {after:g} s"
 )
 def step_unread_cancel(context: Any, seconds: float, name: str, after: float) -> None:
@@ -169,8 +171,11 @@
     assert max(late) <= seconds, late
 
 
-@when("only the scheduling process is left, and it can't read wishes for {seconds:g} s")
-def step_alone(context: Any, seconds: float) -> None:
+@when(
+    "only the scheduling process is left, and it can't read caller requests"
+    " for {seconds:g} s"
+)
+def step_only_owner(context: Any, seconds: float) -> None:
     world = context.world
 
     async def play() -> None:
@@ -198,44 +203,44 @@
     assert share >= 0.7, share
 
 
-@when("the store is {trouble} for {seconds:g} s")
-def step_shared(context: Any, trouble: str, seconds: float) -> None:
+@when("the store is {fault} for {seconds:g} s")
+def step_store_fault(context: Any, fault: str, seconds: float) -> None:
     world = context.world
     faults = world.store.faults
 
     async def play() -> None:
         fence = take_owner(context).election.term.fence
-        begin_trouble(world, trouble)
+        set_store_fault(world, fault)
         context.fences = {fence}
         for _ in range(int(seconds * 10)):
-            await note_fence(context)
+            await record_fence(context)
         faults.down = faults.hangs = False
         faults.slow_seconds = 0.0
         faults.unread.clear()
         for _ in range(100):
-            await note_fence(context)
+            await record_fence(context)
 
     world.run(play())
 
 
-async def note_fence(context: Any) -> None:
+async def record_fence(context: Any) -> None:
     owner = await sample_owner(context.world)
     if owner is not None:
         context.fences.add(owner.election.term.fence)
 
 
-def begin_trouble(world: FleetWorld, trouble: str) -> None:
+def set_store_fault(world: FleetWorld, fault: str) -> None:
     faults = world.store.faults
-    if trouble == "down with its leases paused":
+    if fault == "down with its leases paused":
         faults.down = faults.leases_pause = True
-    elif trouble == "hanging with its leases paused":
+    elif fault == "hanging with its leases paused":
         faults.hangs = faults.leases_pause = True
-    elif trouble == "hanging":
+    elif fault == "hanging":
         faults.hangs = True
-    elif trouble == "sixty times slower":
+    elif fault == "sixty times slower":
         faults.slow_seconds = SLOW_STORE_SECONDS
     else:
-        assert trouble == "unable to read wishes for anyone", trouble
+        assert fault == "unable to read caller requests for anyone", fault
         faults.unread.update(dict.fromkeys(world.processes, CALLER_REQUESTS_PREFIX))
 
 
@@ -276,17 +281,17 @@
     world.run(world.wait_for(lambda: world.find_owner() is not None, seconds))
 
 
-@then("the one that gave up does not schedule within {seconds:g} s")
-def step_stands_last(context: Any, seconds: float) -> None:
+@then("the one that resigned does not schedule within {seconds:g} s")
+def step_last_candidate(context: Any, seconds: float) -> None:
     async def watch() -> None:
         for _ in range(int(seconds * 10)):
             owner = await sample_owner(context.world)
-            assert owner is None or owner.name != context.gave_up
+            assert owner is None or owner.name != context.resigned
 
     context.world.run(watch())
 
 
-@given("nobody can read the count of owners that gave up")
+@given("the store has an unreadable count of owners that resigned")
 def step_unreadable(context: Any) -> None:
     async def put() -> None:
         context.world.store.put(RESIGNATIONS_KEY, b"\xff")
@@ -294,24 +299,24 @@
     context.world.run(put())
 
 
-@then("the count of owners that gave up is gone after {seconds:g} s")
-def step_gone(context: Any, seconds: float) -> None:
-    async def look() -> None:
+@then("the count of owners that resigned is gone after {seconds:g} s")
+def step_count_gone(context: Any, seconds: float) -> None:
+    async def check() -> None:
         await asyncio.sleep(seconds)
         assert context.world.store.read(RESIGNATIONS_KEY) is None
 
-    context.world.run(look())
+    context.world.run(check())
 
 
-@then("VMs stand for the ownership after these seconds")
-def step_stand(context: Any) -> None:
+@then("VMs run for election after these seconds")
+def step_election_delays(context: Any) -> None:
     for row in context.table:
         seconds = find_election_delay(float(row["processor"]), float(row["link"]))
         low, high = float(row["from"]), float(row["to"])
         assert low <= seconds <= high, (row.cells, seconds)
 
 
-SOUND = OwnerMetrics(
+HEALTHY = OwnerMetrics(
     wishes_age=0.5,
     records_age=0.1,
     workers=100,
@@ -324,47 +329,50 @@
 )
 
 
-@given("an owner whose work is sound")
-def step_sound(context: Any) -> None:
-    context.work = SOUND
-    context.fitness = OwnerHealth()
-    context.fitness.given_up = 0
+@given("a healthy owner")
+def step_healthy(context: Any) -> None:
+    context.metrics = HEALTHY
+    context.health = OwnerHealth()
+    context.health.given_up = 0
 
 
 @given("its {measure} is {value:g}")
 def step_measure(context: Any, measure: str, value: float) -> None:
-    context.work = replace(context.work, **{measure: value})
+    context.metrics = replace(context.metrics, **{measure: value})
 
 
 @when("it is judged for {seconds:g} s")
 def step_judge(context: Any, seconds: float) -> None:
     times = [number * 0.1 for number in range(int(seconds * 10) + 1)]
-    judged = [context.fitness.judge(context.work, at) for at in times]
-    context.trouble = next((each for each in judged if each is not None), None)
+    judged = [context.health.judge(context.metrics, at) for at in times]
+    context.problem = next((each for each in judged if each is not None), None)
 
 
 @then("it stays")
 def step_stays(context: Any) -> None:
-    assert context.trouble is None, context.trouble
+    assert context.problem is None, context.problem
 
 
-@then("it gives up: {trouble}")
-def step_gives_up(context: Any, trouble: str) -> None:
-    assert context.trouble is not None and context.trouble.value == trouble
+@then("it resigns: {problem}")
+def step_resigns(context: Any, problem: str) -> None:
+    assert context.problem is not None and context.problem.value == problem
 
 
-@given("{before} owners gave up before it")
+@given("{before} owners resigned before it")
 def step_before(context: Any, before: str) -> None:
-    context.fitness.given_up = int(before) if before.isdigit() else None
+    context.health.given_up = int(before) if before.isdigit() else None
 
 
-@then("it may give up after {seconds:g} s, and stands last for {pause:g} s afterwards")
-def step_serving(context: Any, seconds: float, pause: float) -> None:
-    fitness = context.fitness
-    assert find_minimum_term_seconds(fitness.given_up) == seconds
+@then(
+    "it may resign after {seconds:g} s, and is the last candidate for {pause:g} s"
+    " afterwards"
+)
+def step_minimum_term(context: Any, seconds: float, pause: float) -> None:
+    health = context.health
+    assert find_minimum_term_seconds(health.given_up) == seconds
     for served, expected in ((seconds - 0.1, False), (seconds + 0.1, True)):
-        work = replace(context.work, served=served)
-        judged = [fitness.judge(work, number * 0.5) for number in range(4)]
+        metrics = replace(context.metrics, served=served)
+        judged = [health.judge(metrics, number * 0.5) for number in range(4)]
         assert any(judged) is expected, (served, judged)
-    times = 1000 if fitness.given_up is None else fitness.given_up + 1
+    times = 1000 if health.given_up is None else health.given_up + 1
     assert find_candidacy_pause(times) == pause
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -1,4 +1,4 @@
-"""Steps for jobs of steps on the stand-in of the platform."""
+"""Steps for jobs of several steps on the stand-in of the platform."""
 
 import asyncio
 import json
@@ -126,7 +126,7 @@
 
 
 def write_script(context: Any, job: str, steps: list[dict[str, Any]]) -> None:
-    """Tell the workers what becomes of a job's tasks."""
+    """Set how the workers run a job's tasks."""
     known = context.scripts.get(job, {})
     for number, one in enumerate(steps):
         need = Script().need
@@ -201,15 +201,15 @@
 
 
 def record_times(context: Any) -> Any:
-    """Return a ledger entry that also keeps the time of each start."""
+    """Return a start hook of the ledger that also records each start's time."""
     context.times = {}
     note = context.world.fleet.note_start
 
-    def entry(worker: Any, order: Any) -> None:
+    def note_and_record(worker: Any, order: Any) -> None:
         context.times.setdefault(order.task, read_wall_clock())
         note(worker, order)
 
-    return entry
+    return note_and_record
 
 
 @then("each occurrence of {name} started at its time")
@@ -262,11 +262,11 @@
 
 @then("nothing of {name} runs after {seconds:g} s")
 def step_nothing(context: Any, name: str, seconds: float) -> None:
-    async def look() -> None:
+    async def check() -> None:
         await asyncio.sleep(seconds)
         assert not list_running(context.world, make_id(name))
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @when("the scheduling process dies")
@@ -298,7 +298,7 @@
         owner = context.world.find_owner()
         assert owner is not None, "no process schedules"
         context.dead = owner.name
-        # Renewals stop with it; its own clock shows the time that has passed.
+        # Its renewals stop, and its own clock shows the time that has passed.
         context.world.store.faults.silent.add(owner.name)
         owner.frozen_for += seconds
 
@@ -307,11 +307,11 @@
 
 @then("it gives no order")
 def step_no_order(context: Any) -> None:
-    async def look() -> None:
+    async def check() -> None:
         term = context.world.processes[context.dead].election.term
         assert term is None or not term.may_act()
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @when("all processes die and are back after {seconds:g} s")
@@ -332,8 +332,8 @@
     context.world.fleet.workers[name].faults.late_orders = [seconds] * count
 
 
-@when("worker {name} says that it leaves")
-def step_leaves(context: Any, name: str) -> None:
+@when("worker {name} is draining")
+def step_drains(context: Any, name: str) -> None:
     async def put() -> None:
         rack = f"r{int(name[1:]) % 2}"
         context.world.list_worker(name, rack=rack, state="draining")
@@ -374,9 +374,9 @@
     context.world.fleet.workers[name].faults.fails_all = True
 
 
-@when("every worker that runs both {first} and {second} answers no look")
-def step_deaf(context: Any, first: str, second: str) -> None:
-    deaf = [
+@when("every worker that runs both {first} and {second} answers no poll")
+def step_unpolled(context: Any, first: str, second: str) -> None:
+    workers = [
         worker
         for worker in context.world.fleet.workers.values()
         if all(
@@ -384,13 +384,13 @@
             for name in (first, second)
         )
     ]
-    assert deaf, "no worker runs both"
-    for worker in deaf:
+    assert workers, "no worker runs both"
+    for worker in workers:
         worker.faults.deaf_to_looks = True
 
 
-@when("every worker answers looks again")
-def step_hears(context: Any) -> None:
+@when("every worker answers polls again")
+def step_polled_again(context: Any) -> None:
     for worker in context.world.fleet.workers.values():
         worker.faults.deaf_to_looks = False
 
@@ -574,10 +574,10 @@
 
 @then("after {seconds:g} s {count:d} tasks of {name} run without it")
 def step_moved(context: Any, seconds: float, count: int, name: str) -> None:
-    async def look() -> None:
+    async def check() -> None:
         await asyncio.sleep(seconds)
         context.cut.sweep()
         assert not context.cut.runs
         assert len(list_running(context.world, make_id(name))) == count
 
-    context.world.run(look())
+    context.world.run(check())
--- a/features/steps/work_submitting_steps.py
+++ b/features/steps/work_submitting_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what callers are told when they hand jobs in."""
+"""Steps for the answers that callers get when they submit jobs."""
 
 import asyncio
 import json
@@ -23,8 +23,8 @@
 KEYS = {"domes": "key-domes", "post": "key-post"}
 
 
-def make_judge(job_id: str, organisation: str) -> Any:
-    """Return what judges a call by a policy, keys included."""
+def make_submission_maker(job_id: str, organisation: str) -> Any:
+    """Return a function that checks a call's key and makes its submission."""
 
     def make(policy: Policy) -> Submission:
         if policy.keys.get(KEYS[organisation]) != organisation:
@@ -40,14 +40,14 @@
 async def hand_in(
     context: Any, name: str, process: str, organisation: str = "domes"
 ) -> None:
-    """Hand a job of one task in; what the caller is told is kept."""
+    """Submit a job of one task and record the answer."""
     job_id = make_id(name)
     write_script(context, job_id, ONE_TASK)
     context.queues[job_id] = "usual"
     began = read_clock()
     submitting = context.world.processes[process].submitting
     try:
-        await submitting.submit(job_id, make_judge(job_id, organisation))
+        await submitting.submit(job_id, make_submission_maker(job_id, organisation))
         context.told.append("accepted")
     except Failure as failure:
         context.told.append(failure.kind.value)
@@ -97,7 +97,7 @@
 
     async def go_down() -> None:
         loop = asyncio.get_running_loop()
-        # Down as soon as the write has been taken in.
+        # Down as soon as the store has accepted the write.
         loop.call_later(0.006, setattr, faults, "down", True)
 
     context.world.run(go_down())
@@ -112,8 +112,8 @@
     context.world.run(revoke())
 
 
-@when("{process} is turned away by the store")
-def step_turned_away(context: Any, process: str) -> None:
+@when("{process} is refused by the store")
+def step_refused(context: Any, process: str) -> None:
     context.world.store.faults.refused.add(process)
 
 
@@ -133,7 +133,7 @@
     context.world.processes["p1"].policies.note(context.older)
 
 
-@then("p1 goes on by version {version:d}")
+@then("p1 uses version {version:d}")
 def step_goes_on(context: Any, version: int) -> None:
     policy = context.world.processes["p1"].policies.policy
     assert policy is not None and policy.version == version
@@ -167,13 +167,13 @@
 
 @then("{count:d} task of {name} was started in {seconds:g} s")
 def step_started(context: Any, count: int, name: str, seconds: float) -> None:
-    async def look() -> None:
+    async def check() -> None:
         await asyncio.sleep(seconds)
         job = make_id(name)
         starts = [each for each in context.world.fleet.starts if each[0][:16] == job]
         assert len(starts) == count, starts
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @then("{count:d} tasks of {name} were started in {seconds:g} s")
@@ -183,18 +183,18 @@
 
 @then("{process} is not ready")
 def step_not_ready(context: Any, process: str) -> None:
-    async def look() -> None:
+    async def check() -> None:
         assert not context.world.processes[process].policies.recent
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @then("{process} is ready")
 def step_ready(context: Any, process: str) -> None:
-    async def look() -> None:
+    async def check() -> None:
         assert context.world.processes[process].policies.recent
 
-    context.world.run(look())
+    context.world.run(check())
 
 
 @then("a call with the key of {organisation} at {process} is told {kind}")
@@ -222,18 +222,18 @@
 
 @then("{process} counts {count:d} waiting job")
 def step_pending(context: Any, process: str, count: int) -> None:
-    async def look() -> int:
+    async def check() -> int:
         running = context.world.processes[process]
         queue = running.policies.require().find_queue_by_name("usual")
         found = await running.submitting.count_pending(queue)
         return int(found)
 
-    assert context.world.run(look()) == count
+    assert context.world.run(check()) == count
 
 
 @when("the queue {name} gets the name {other}")
 def step_rename(context: Any, name: str, other: str) -> None:
-    """Let operators name a queue otherwise; its host and prefix stay."""
+    """Rename a queue; its host and prefix stay."""
 
     async def rename() -> None:
         config = json.loads(make_policy(2))
@@ -254,7 +254,7 @@
 
 
 def read_shown(context: Any, name: str, queue: str) -> JobState | None:
-    """Return what p1 shows of a job at a queue's path."""
+    """Return the state that p1 shows for a job at a queue's path."""
 
     async def read() -> JobState | None:
         submitting = context.world.processes["p1"].submitting
@@ -305,12 +305,12 @@
 
 
 class FailingSource:
-    """A policy of which some reads fail.
+    """A policy source of which some reads fail.
 
     Attributes:
-        fails_each: Of so many reads the last one fails.
-        fails_after: Seconds until it does.
-        answers_after: Seconds that the others take.
+        fails_each: Every read whose number is a multiple of this fails.
+        fails_after: Seconds until such a read fails.
+        answers_after: Seconds that other reads take.
     """
 
     key = POLICY_KEY
--- a/features/steps/work_upkeep_steps.py
+++ b/features/steps/work_upkeep_steps.py
@@ -1,4 +1,4 @@
-"""Steps for waves of upkeep on the stand-in."""
+"""Steps for maintenance waves on the stand-in."""
 
 import asyncio
 from collections import defaultdict
@@ -18,7 +18,7 @@
 from primrosestile.state.maintenance import VmState, Wave, WaveRecord, WorkerVm
 
 LIST_SECONDS = 0.1
-SLOW_ORDER_SECONDS = 0.5
+ORDER_DELAY_SECONDS = 0.5
 
 
 @given("a VM under each worker")
@@ -27,12 +27,12 @@
         context.world.vms.add(f"vm-{name}", name)
 
 
-@given("the answers to the next {count:d} upkeep orders are lost")
+@given("the answers to the next {count:d} maintenance orders are lost")
 def step_lost(context: Any, count: int) -> None:
     context.world.vms.lose_answers = count
 
 
-@given("upkeep orders are refused for a VM that is away")
+@given("maintenance orders are refused for a VM that is away")
 def step_refused_away(context: Any) -> None:
     vms = context.world.vms
     begin, read = vms.begin, vms.list_vms
@@ -45,12 +45,12 @@
     vms.begin = begin_or_refuse
 
 
-@given("an upkeep takes {seconds:g} s")
-def step_upkeep_seconds(context: Any, seconds: float) -> None:
+@given("maintenance takes {seconds:g} s")
+def step_maintenance_seconds(context: Any, seconds: float) -> None:
     context.world.vms.seconds = seconds
 
 
-@given("the worker on {vm} is replaced just before its upkeep is ordered")
+@given("the worker on {vm} is replaced just before its maintenance is ordered")
 def step_replaced(context: Any, vm: str) -> None:
     vms = context.world.vms
     begin = vms.begin
@@ -58,7 +58,7 @@
     async def replace_and_begin(name: str, wave: int, fence: int) -> MaintenanceAnswer:
         if name == vm and not vms.orders:
             vms.replace(name)
-            await asyncio.sleep(SLOW_ORDER_SECONDS)
+            await asyncio.sleep(ORDER_DELAY_SECONDS)
         return await begin(name, wave, fence)
 
     vms.begin = replace_and_begin
@@ -90,8 +90,11 @@
     vms.list_vms = list_up
 
 
-@given("the next upkeep order is refused, and taking it back is answered unheard")
-def step_taken_back(context: Any) -> None:
+@given(
+    "the next maintenance order is refused, and the answer to removing its record"
+    " is lost"
+)
+def step_record_removed(context: Any) -> None:
     world = context.world
     owner = next(each for each in world.processes.values() if each.election.term)
     assert owner.scheduler is not None
@@ -106,7 +109,7 @@
         refused.append(name)
         return MaintenanceAnswer.BUSY
 
-    async def commit_unheard(conditions: Any, writes: Any = (), **named: Any) -> Any:
+    async def commit_and_lose(conditions: Any, writes: Any = (), **named: Any) -> Any:
         done = await commit(conditions, writes, **named)
         for write in writes:
             if write.key.startswith(MAINTENANCE_PREFIX):
@@ -116,7 +119,7 @@
                     raise Failure(ErrorKind.STORE_UNAVAILABLE, "lost")
         return done
 
-    world.vms.begin, client.commit = refuse_once, commit_unheard
+    world.vms.begin, client.commit = refuse_once, commit_and_lose
 
 
 @given("the list of VMs is {seconds:g} s old")
@@ -143,13 +146,13 @@
     vms.list_vms = list_old
 
 
-@when("operators ask for the upkeep of all VMs within {seconds:d} s, {most:d} at once")
+@when("operators ask for maintenance of all VMs within {seconds:d} s, {most:d} at once")
 def step_wave(context: Any, seconds: int, most: int) -> None:
     names = tuple(f"vm-{name}" for name in context.world.fleet.workers)
     context.world.vms.waves.append(Wave(7, names, float(seconds), most))
 
 
-@then("the wave is said to be completed, and was")
+@then("the wave is reported as completed, and was")
 def step_completed_wave(context: Any) -> None:
     assert context.world.vms.completed == {7: []}, context.world.vms.completed
 
@@ -163,23 +166,23 @@
     ]
 
 
-@then("wave {number:d} is said to be running")
+@then("wave {number:d} is reported as running")
 def step_running(context: Any, number: int) -> None:
     assert number not in context.world.vms.completed, context.world.vms.completed
 
 
-@then("{vm} has had its upkeep in wave {number:d}")
-def step_had_upkeep(context: Any, vm: str, number: int) -> None:
+@then("{vm} has had its maintenance in wave {number:d}")
+def step_had_maintenance(context: Any, vm: str, number: int) -> None:
     assert context.world.vms.has_begun(vm, number)
 
 
-@then("wave {number:d} is said to be completed, and was")
+@then("wave {number:d} is reported as completed, and was")
 def step_completed_truly(context: Any, number: int) -> None:
     completed = context.world.vms.completed
     assert completed.get(number) == [], completed
 
 
-@given("upkeep orders of wave {number:d} are lost on their way for {seconds:g} s")
+@given("maintenance orders of wave {number:d} are lost on their way for {seconds:g} s")
 def step_lost_for(context: Any, number: int, seconds: float) -> None:
     vms = context.world.vms
     begin = vms.begin
@@ -214,7 +217,7 @@
 
 
 @then("no VM had orders of two owners within {seconds:g} s")
-def step_turns(context: Any, seconds: float) -> None:
+def step_one_owner_orders(context: Any, seconds: float) -> None:
     by_vm = defaultdict(list)
     for at, name, fence in context.world.vms.orders:
         by_vm[name].append((at, fence))
@@ -249,7 +252,7 @@
 
 
 @then("no VM was ordered for wave {number:d}")
-def step_left_alone(context: Any, number: int) -> None:
+def step_wave_not_ordered(context: Any, number: int) -> None:
     assert number not in context.world.vms.completed
     assert len(context.world.vms.orders) == len(context.world.vms.waves[1].vms)
 
@@ -264,7 +267,7 @@
 
 @step("the list of VMs is empty for {seconds:g} s")
 def step_empty_list(context: Any, seconds: float) -> None:
-    """Let the readings of a time find nothing, from the first of them on."""
+    """Let reads of the list return nothing for a time, from the first read on."""
     vms = context.world.vms
     read = vms.list_vms
     first_at: list[float] = []
@@ -281,18 +284,18 @@
     del context.world.vms._vms[vm]
 
 
-@given("each upkeep is told how many tasks of the service are there as it begins")
-def step_count_there(context: Any) -> None:
+@given("the running tasks of the service are counted as each maintenance begins")
+def step_count_service_tasks(context: Any) -> None:
     world = context.world
     begin = world.vms.begin
-    context.there = []
+    context.counts = []
 
     async def count_and_begin(name: str, wave: int, fence: int) -> MaintenanceAnswer:
-        there = len(list_running(world, SERVICE))
-        known = len(world.vms.orders)
+        running = len(list_running(world, SERVICE))
+        before = len(world.vms.orders)
         answer = await begin(name, wave, fence)
-        if len(world.vms.orders) > known:
-            context.there.append(there)
+        if len(world.vms.orders) > before:
+            context.counts.append(running)
         return answer
 
     world.vms.begin = count_and_begin
@@ -306,6 +309,6 @@
     context.world.run(crash())
 
 
-@then("at each begin {count:d} tasks of the service were there")
-def step_were_there(context: Any, count: int) -> None:
-    assert context.there and set(context.there) == {count}, context.there
+@then("at each begin {count:d} tasks of the service ran")
+def step_service_tasks_ran(context: Any, count: int) -> None:
+    assert context.counts and set(context.counts) == {count}, context.counts
--- a/features/steps/work_waiting_steps.py
+++ b/features/steps/work_waiting_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the jobs that wait, and the keys by which they are counted."""
+"""Steps for waiting jobs and the keys by which they are counted."""
 
 import asyncio
 from typing import Any
@@ -11,7 +11,7 @@
 from primrosestile_standin.fleetscript import Script
 
 QUEUE = "usual"
-GONE = "00000000000000ff"
+REMOVED_JOB = "00000000000000ff"
 TASK = {"cpu": 1000, "mem_mb": 1000, "gpu": 1, "estimate_ms": 60_000}
 
 
@@ -41,7 +41,7 @@
 
 @then("{process} has read at most {most:d} bytes for that")
 def step_bytes(context: Any, process: str, most: int) -> None:
-    # What the owner reads for its work is counted elsewhere.
+    # The owner's own reads are counted elsewhere.
     assert context.read <= most, context.read
 
 
@@ -50,18 +50,18 @@
     context.world.store.remove(make_waiting_key(context.waiting[0]))
 
 
-@given("the key of a job that has begun still stands")
+@given("the key of a job that has begun is still there")
 def step_begun(context: Any) -> None:
     context.world.store.put(make_waiting_key(context.running[0]), QUEUE.encode())
 
 
-@given("the key of a job that is gone still stands")
+@given("the key of a job that is gone is still there")
 def step_gone(context: Any) -> None:
-    context.world.store.put(make_waiting_key(GONE), QUEUE.encode())
+    context.world.store.put(make_waiting_key(REMOVED_JOB), QUEUE.encode())
 
 
 def find_alive(context: Any) -> Process:
-    """Return a process that runs, not the owner that has died."""
+    """Return a running process, not the dead owner."""
     processes = context.world.processes.values()
     return next(each for each in processes if each.task and not each.task.done())
 
@@ -79,11 +79,11 @@
 
 @then("another process counts {count:d} waiting jobs")
 def step_counts(context: Any, count: int) -> None:
-    async def look() -> int:
+    async def count_waiting() -> int:
         process = find_alive(context)
         queue = process.policies.require().find_queue_by_name(QUEUE)
         assert queue is not None
         return await process.submitting.count_pending(queue)
 
-    found = context.world.run(look())
+    found = context.world.run(count_waiting())
     assert found == count, found
--- a/features/work/cordons.feature
+++ b/features/work/cordons.feature
@@ -1,6 +1,6 @@
 Feature: Operators empty a failure domain
-  Operators are about to work on a hall, and ask that nothing more be sent to the
-  workers there until they take that back.
+  Operators are about to work on a hall, and ask that no new work be sent to the workers
+  there until they withdraw that.
 
   Background:
     Given a fleet of 2 workers with 8 accelerators in 2 racks
@@ -8,7 +8,7 @@
     And 2 processes of ours
 
   Scenario: A failure domain that is being emptied gets no new work
-    Operators empty a failure domain while work waits. Were more of it started there,
+    Operators empty a failure domain while work waits. If more of it were started there,
     it would be cut off with the hall's power, and an urgent frame would come late.
     When operators empty failure domain perth
     And 2 s pass
--- a/features/work/faults.feature
+++ b/features/work/faults.feature
@@ -1,13 +1,13 @@
 Feature: Nothing runs twice and nothing is lost when parts fail
-  What was accepted stands in the store, what runs is known by the workers.
+  Accepted jobs are in the store; what runs is known by the workers.
 
   Background:
     Given a fleet of 4 workers with 8 accelerators in 2 racks
     And 3 processes of ours
 
   Scenario: The scheduling process dies while tasks run
-    The machine of the process that schedules loses power. Its tasks run on under
-    their leases, and the caller sees the job end as if nothing had happened.
+    The machine of the process that schedules loses power. Its tasks go on under their
+    leases, and the caller sees the job end as if nothing had happened.
     Given the tasks of d1 take 6 s
     When job d1 is handed in with steps
       | count | accelerators |
@@ -20,9 +20,9 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: All processes are killed together and are back at once
-    The key of the owner that was killed stands until its lease has run out. A
-    student's booking that comes meanwhile would wait for that, and be late, though
-    the process that wrote the key is back and knows that it owns nothing.
+    The key of the killed owner exists until its lease has expired. An urgent job that
+    arrives meanwhile would wait for that and be late, though the process that wrote the
+    key is back and knows that it owns nothing.
     Given the tasks of d0 take 2 s
     When all processes die and are back after 0.2 s
     Then a process schedules within 0.3 s
@@ -41,7 +41,7 @@
       | count | accelerators |
       | 3     | 8            |
     And 1.2 s pass
-    And worker w1 says that it leaves
+    And worker w1 is draining
     Then job d2 is shown as completed within 40 s
     And the fleet's ledger shows nothing wrong
 
@@ -54,8 +54,9 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: A worker is cut off and runs on
-    Its tasks run until its lease is over. Started again before that elsewhere,
-    they would run twice at one time; never started again, the job would not end.
+    Its tasks run until its lease expires. If they were started elsewhere before that,
+    they would run twice at one time; if they were never started again, the job would
+    not end.
     Given the tasks of d4 take 30 s
     When job d4 is handed in with steps
       | count | accelerators |
@@ -66,9 +67,9 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: A worker that was given up is back under its name
-    A cut lasts longer than the worker's lease and its entry is gone, so it is given
-    up; then it is back. It must get work again, or a job that needs the whole fleet
-    waits for good.
+    A network cut lasts longer than the worker's lease and its entry is gone, so the
+    worker is given up; then it is back. It must get work again, or a job that needs the
+    whole fleet waits for good.
     When worker w1 is cut off
     And the entry of w1 is gone
     And 20 s pass
@@ -82,9 +83,9 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: A task ends while the store is down, and the scheduling process dies
-    A worker repeats an end until it is told that it may forget it. Were it told so
-    before the end stands in the store, the next owner would find neither the run
-    nor its end, and start again what has ended well.
+    A worker reports an end until the owner acknowledges it. If the owner did so before
+    the end is stored, the next owner would find neither the run nor its end, and start
+    again a task that has completed.
     Given the tasks of e2 take 3 s
     When job e2 is handed in with steps
       | count | accelerators |
@@ -98,7 +99,7 @@
     And every task of e2 was started once
     And the fleet's ledger shows nothing wrong
 
-  Scenario: A worker crashes and its next life has its address
+  Scenario: A worker crashes and its next incarnation has its address
     Given the tasks of d6 take 4 s
     When job d6 is handed in with steps
       | count | accelerators |
@@ -109,13 +110,13 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario Outline: A worker starts again while its former entry still stands
-    A worker crashed, and its next life came up at the same address within a second.
-    The store keeps the entry of the former life for three heartbeats, so for seconds
-    the list names two workers at one address. The owner took each for the other's
+    A worker crashed, and its next incarnation came up at the same address within a
+    second. The store keeps the entry of the former one for three heartbeats, so for
+    seconds the list has two workers at one address. The owner took each for the other's
     successor whenever it read the list, and counted the tasks of the live one as gone:
-    they were started elsewhere while they ran, and a client was billed twice. In the
-    owner's log the live worker was replaced by the entry of the dead one 9 ms before
-    the second run of a task started, and again at every reading of the list.
+    they were started elsewhere while they ran, and a client was billed twice. The
+    owner's log replaced the live worker by the entry of the dead one 9 ms before the
+    second run of a task started, and again at every reading of the list.
     Given the tasks of d0 take 6 s
     And the tasks of d6 take 4 s
     When job d0 is handed in with steps
@@ -140,8 +141,8 @@
       | w4     | w0   |
 
   Scenario: The store is down while tasks run
-    Nothing can be accepted or recorded, but what runs must not lapse, or four
-    seconds of the store cost a night's renders.
+    Nothing can be accepted or recorded, but runs must not lapse: otherwise a store
+    outage of four seconds costs a night's renders.
     Given the tasks of d7 take 12 s
     When job d7 is handed in with steps
       | count | accelerators |
@@ -161,8 +162,8 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: An older record is written late, after a newer one
-    The store carries a write out seconds after it was given up. If it came over
-    the newer record, the next owner would start again what runs or has ended.
+    The store carries a write out seconds after its caller gave up on it. If it
+    overwrote the newer record, the next owner would start again what runs or has ended.
     Given the tasks of d9 take 1 s
     When the next 2 writes of records are carried out 2.5 s late
     And job d9 is handed in with steps
@@ -174,8 +175,8 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: The scheduling process is suspended past its lease
-    Another process schedules meanwhile. The one that wakes must give no order by
-    what it believed, or two of them place work on one worker.
+    Another process schedules meanwhile. The suspended one must give no orders from its
+    old state when it resumes, or two processes place work on one worker.
     When the scheduling process is suspended for 10 s
     Then it gives no order
     And another process schedules within 2.5 s
@@ -199,20 +200,20 @@
     Then the 6 jobs f are shown as completed within 30 s
 
   Scenario: A small machine schedules only while no larger one does
-    The owner of a large fleet takes most of a small machine's processor: looks at
-    workers come late, leases lapse, and urgent work waits behind them.
+    The owner of a large fleet takes most of a small machine's processor: polls of
+    workers come late, leases expire, and urgent work waits behind them.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
     And processes of ours on machines of 0.5, 0.5 and 2 cores, the larger one last
     Then p3 schedules
     When the scheduling process dies
     Then another process schedules within 4 s
 
-  Scenario: A new owner's first looks at a worker go unanswered
-    The owner died, and the next one's first looks at a worker were lost; its stop of a
-    cancelled task there was answered. The new owner had asked for no lease itself and
-    took that for a lease that was over, though the former owner had extended it for
-    seconds more: what ran on the worker was started elsewhere beside it. The log
-    showed the lease as over 0.6 s after the ownership had changed, with four members.
+  Scenario: A new owner's first polls of a worker go unanswered
+    The owner died, and the next one's first polls of a worker were lost; its stop of a
+    cancelled task there was answered. The new owner had extended no lease itself and
+    took that for an expired lease, though the former owner had extended it for seconds
+    more: what ran on the worker was started elsewhere beside it. The log showed the
+    lease as over 0.6 s after the ownership had changed, with four members.
     Given the tasks of c0 take 12 s
     And the tasks of c1 take 12 s
     When job c0 is handed in with steps
@@ -223,19 +224,19 @@
       | count | accelerators |
       | 3     | 4            |
     And c1 runs on the fleet
-    And every worker that runs both c0 and c1 answers no look
+    And every worker that runs both c0 and c1 answers no poll
     And job c1 is cancelled
     And the scheduling process dies
     And 4 s pass
-    And every worker answers looks again
+    And every worker answers polls again
     Then job c0 is shown as completed within 20 s
     And the fleet's ledger shows nothing wrong
     And no task of c0 was started twice
 
   Scenario Outline: An entry gives a live worker another one's address
-    Another writer overwrote a worker's entry, and the address in it was that of a
-    second worker. Asked for the first life, the second one answers that another life
-    serves here, which is true; taken as the end of the first, its tasks would be
+    Another writer overwrote a worker's entry with the address of a second worker. Asked
+    for the first incarnation, the second worker answers truly that another one serves
+    at its address; if that counted as the end of the first one, its tasks would be
     started elsewhere while they run, and a render would be billed twice.
     Given the tasks of c2 take 9 s
     When job c2 is handed in with steps
@@ -250,15 +251,15 @@
     And the fleet's ledger shows nothing wrong
     And no task of c2 was started twice
 
-    Examples: the owner has heard the worker before, or is new
+    Examples: the owner has reached the worker before, or is new
       | worker | what happens               |
       | w1     | 1 s pass                   |
       | w2     | the scheduling process dies |
 
   Scenario: The owner dies while no entry names a worker that runs on
     A worker can't reach the store, so its entry has lapsed, and the owner dies. The
-    next owner finds the worker in records only. Not asked there, the worker would lose
-    its lease, and hours of renders would be thrown away and done again.
+    next owner finds the worker only in records. If it didn't poll the worker there, the
+    worker's lease would expire, and hours of renders would be lost and repeated.
     Given the tasks of h0 take 20 s
     When job h0 is handed in with steps
       | count | accelerators |
@@ -271,10 +272,10 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: The owner dies after a worker whose entry has gone
-    A worker crashed, its next life serves at its address, and the owner dies once the
-    former entry has gone. The next owner can ask at the address in its records; were
-    it to wait for the lease of a worker that it can't find, the callers of what ran
-    there would wait 16 s more.
+    A worker crashed, its next incarnation serves at its address, and the owner dies
+    once the former entry has gone. The next owner can ask at the address in its
+    records; if it waited for the lease of a worker that it can't find, the callers of
+    what ran there would wait 16 s more.
     Given the tasks of h1 take 6 s
     When job h1 is handed in with steps
       | count | accelerators |
--- a/features/work/reading.feature
+++ b/features/work/reading.feature
@@ -1,11 +1,11 @@
 Feature: What an owner reads fits the weakest VM
-  Whichever VM comes to schedule, it must be able to read what is open before its
-  lease is over, and to hear in time what callers wish.
+  Whichever VM becomes the owner, it must be able to read the open jobs before its lease
+  expires, and to receive caller requests in time.
 
   Scenario: A VM with a slow link takes over after a long day
-    All VMs were away and the first one back has a link of 10 Mbit/s. The records of
-    the day's ended jobs stand in the store. Were they to be read first, the owner
-    would not read them before its calls time out, and no job would start any more.
+    All VMs were away and the first one back has a link of 10 Mbit/s. The records of the
+    day's ended jobs are in the store. If the owner read them first, it would not finish
+    before its calls time out, and no job would ever start.
     Given a fleet of 24 workers with 8 accelerators in 2 racks
     And 2000 jobs of 10 tasks each ran under an earlier owner and have ended
     And 200 jobs of 10 tasks each are open
@@ -14,15 +14,15 @@
     And it has read less than 1.2 MB
 
   Scenario: A page that doesn't come in time is read in parts
-    Other calls take most of the link, so that a full page comes too late for the
-    call that asked for it. Asked for again and again, it would never come.
+    Other calls take most of the link, so a full page arrives after its call has timed
+    out. If the same page were requested again and again, it would never arrive.
     Given a fleet of 4 workers with 8 accelerators in 2 racks
     And 600 jobs of 2 tasks each are open
     When p1 starts on a VM with a link of 1 Mbit/s
     Then p1 gives its first order within 60 s of being the owner
 
   Scenario: A silent store is not asked for hundreds of parts
-    The store answers nobody for some seconds. Were that taken for pages that are too
+    The store answers nobody for some seconds. If that counted as pages that are too
     large, each later read would cost hundreds of calls, and callers would get fewer.
     Given a fleet of 1 workers with 8 accelerators in 1 racks
     And 20 jobs of 1 tasks each are open
@@ -39,9 +39,9 @@
     Then the last read is one call
 
   Scenario: A cancellation comes while the watch has lost its history
-    Many jobs are open when the store drops its history. The owner, whose link is
-    slow, has to read again what it may have missed, and the caller's cancelled job
-    must not run on until all of that has come.
+    Many jobs are open when the store drops its history. The owner has a slow link and
+    must read again what it may have missed; the caller's cancelled job must not run on
+    until all of that has arrived.
     Given a fleet of 4 workers with 8 accelerators in 2 racks
     And 1000 jobs of 2 tasks each are open
     And 1 processes of ours
@@ -61,23 +61,24 @@
     Then 1 task of l1 was started in 10 s
 
   Scenario: The watch hears nothing while jobs and cancellations are accepted
-    The store has dropped its history, and the watches that wait there stay silent. A
-    student's booking that the owner hears of two seconds late is late itself, though
-    workers are free all the while.
+    The store has dropped its history, and open watches stay silent. An urgent job that
+    the owner sees two seconds late is late itself, though workers are free all the
+    while.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
     And 2 processes of ours
-    When the watches of the store hear nothing
+    When the watches of the store are silent
     And job w1 is handed in at p1
     Then 1 task of w1 was started in 0.5 s
 
   Scenario: A job is handed in again after its end
     The caller's first call was answered late, and its retry arrives when the job has
-    ended and its keys are gone. Taken as new, the job would run and be billed twice.
+    ended and its keys are gone. If it counted as new, the job would run and be billed
+    twice.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
     And 2 processes of ours
     When job a1 is handed in at p1
     Then job a1 is shown as completed within 8 s
-    And nothing but the end of a1 stands in the store
+    And the store has nothing but the end record of a1
     When job a1 is handed in at p1 and again at p2
     Then both are told that it was accepted
     And 1 task of a1 was started in 5 s
@@ -97,18 +98,18 @@
     And reads that may be old show nothing
     When job a3 is handed in at p1
     Then job a3 is shown as completed within 8 s
-    And nothing but the end of a3 stands in the store
+    And the store has nothing but the end record of a3
 
   Scenario: A record is written late, after the job's keys are gone
     The store leaves the first record of a job unanswered and carries it out when the
-    job has ended. If it came back, the job's caller would be shown it as running, and
-    nobody would ever remove it.
+    job has ended. If the record came back, the caller would see the job as running, and
+    nothing would ever remove it.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
     And 1 processes of ours
     When the next 1 writes of records are carried out 6 s late
     And job b1 is handed in at p1
     And 8 s pass
-    Then nothing but the end of b1 stands in the store
+    Then the store has nothing but the end record of b1
     And job b1 is shown as completed within 1 s
 
   Scenario: The answer to the last record is lost
@@ -117,19 +118,19 @@
     When job b2 is handed in at p1
     And the answer to the last record of b2 is lost
     Then job b2 is shown as completed within 8 s
-    And nothing but the end of b2 stands in the store
-    And the owner knows of no open job
+    And the store has nothing but the end record of b2
+    And the owner has no open job
 
   Scenario: A list shows a job whose keys are gone
-    An answer that was on its way while the job ended still names it. Taken as new,
-    its task would be started a second time.
+    An answer that was under way while the job ended still contains the job. If it
+    counted as new, its task would be started a second time.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
     And 1 processes of ours
     And from now on lists show every job that was ever there
     When job b3 is handed in at p1
     Then job b3 is shown as completed within 8 s
     And 1 task of b3 was started in 12 s
-    And the owner knows of no open job
+    And the owner has no open job
 
   Scenario: A cancelled job is kept until nothing of it runs
     A worker is cut off while the job that it runs is cancelled. The next owner must
@@ -144,24 +145,24 @@
     And worker w1 is cut off for 3 s while job b4 is cancelled
     Then nothing of b4 runs after 3 s
     And job b4 is shown as cancelled within 1 s
-    And nothing but the end of b4 stands in the store
+    And the store has nothing but the end record of b4
 
   Scenario: A record that nobody can read keeps no owner from its start
-    Another program has written into the store. One record that can't be read must
-    not keep every job of everybody from running, and what stands there is left.
+    Another program has written into the store. One unreadable record must not keep the
+    owner from running all other jobs, and the foreign records are kept.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
-    And records that nobody can read stand in the store
-    And a job whose progress nobody can read
+    And unreadable records are in the store
+    And a job whose progress record is unreadable
     And 1 processes of ours
     When job c1 is handed in at p1
     Then 1 task of c1 was started in 5 s
     And nothing else was started
-    And the records that nobody can read still stand there
+    And the unreadable records are still in the store
     And p1 counts 0 waiting job
 
   Scenario: Callers who ask for the number of waiting jobs together share a read
-    Each answer takes a read of all open jobs. On a slow link ten callers would wait
-    for ten times the same bytes, and so would everybody else on that VM.
+    Each answer takes a read of all open jobs. On a slow link ten callers would wait for
+    ten times the same bytes, and so would all other calls on that VM.
     Given a fleet of 1 workers with 8 accelerators in 1 racks
     And 1 processes of ours
     And 300 jobs of 1 tasks each are open
@@ -179,13 +180,13 @@
     And 150 s pass
     Then job e1 is shown as completed within 1 s
     When 50 s pass
-    Then nothing of e1 stands in the store
+    Then the store has nothing of e1
 
   Scenario: A job ends while nobody schedules
     The scheduling process dies and the job's task ends before the next one has begun.
-    That one hears of the end before its first pass. Were the time of the end not known
-    by then, the job would count as ended in 1970, its record would be removed within
-    seconds, and its caller would be told that no such job exists.
+    That one receives the end before its first pass. If the time of the end were not
+    known by then, the job would count as ended in 1970, its record would be removed
+    within seconds, and its caller would be told that no such job exists.
     Given a fleet of 1 workers with 8 accelerators in 1 racks
     And 2 processes of ours
     And the tasks of e3 take 1 s
@@ -199,8 +200,8 @@
     And the end of e3 has its time
 
   Scenario: The log tells why a job is not known any more
-    A caller asks for a job minutes after its end and is told that there is none. Were
-    the removal not logged, nobody could tell it from a job that was lost.
+    A caller asks for a job minutes after its end and is told that there is none.
+    Without a log line for the removal, the job could not be told from a lost one.
     Given what the processes log is kept
     And a fleet of 1 workers with 8 accelerators in 1 racks
     And 1 processes of ours
@@ -208,7 +209,7 @@
     Then job e6 is shown as completed within 8 s
     When 250 s pass
     And p1 is asked for job e6, which it doesn't know
-    Then the log tells of e6 in this order
+    Then the log has these events of e6 in this order
       | event               |
       | job_admitted        |
       | run_ended           |
@@ -217,12 +218,12 @@
       | job_not_known       |
 
   Scenario: The next owner's VM has another time of day
-    A VM's clock is five minutes ahead, as it may be just after a start. The process on
-    it takes the ownership over and cleans up after its predecessor. A caller who asks
-    for a job that ended two minutes ago is told that no such job exists. The age of
-    what is left of a job was judged by two times of day: that of the process which
-    wrote the end, and that of the one which cleans up. The log showed it: the record
-    was removed 62 s after its end as one of 362 s.
+    A VM's clock is five minutes ahead, as it may be just after a start. Its process
+    becomes the owner and cleans up the former owner's records. A caller who asks for a
+    job that ended two minutes ago is told that no such job exists. The age of a record
+    was the difference of two times of day: that of the process which wrote the end, and
+    that of the one which cleans up. The log showed it: the record was removed 62 s
+    after its end as one of 362 s.
     Given a fleet of 1 workers with 8 accelerators in 1 racks
     And 2 processes of ours
     When job e5 is handed in at p1
@@ -233,10 +234,10 @@
     Then job e5 is shown as completed within 1 s
 
   Scenario: A job is taken in on a VM whose time of day is behind
-    The clock of the VM that takes a job in is ten seconds behind the owner's, so the
-    job seems to be late when it comes. What is late already goes behind all that can
-    still be in time, so its caller waits longest, though the job came first. The log
-    showed it: `job_admitted` had an age of 10 s for a job of that moment.
+    The clock of the VM that accepts a job is ten seconds behind the owner's, so the job
+    seems late when it arrives. Late jobs queue behind all that can still be in time, so
+    its caller waits longest, though the job came first. The log showed it:
+    `job_admitted` had an age of 10 s for a job of that moment.
     Given a fleet of 1 workers with 8 accelerators in 1 racks
     And 2 processes of ours
     And the tasks of a1 take 3 s
@@ -252,9 +253,9 @@
     And job a2 was started before job a3
 
   Scenario: A new owner's first list of records has an item without a readable key
-    The answer that lists how far jobs got has one item whose key can't be read: that of
-    a job that runs. Left out, the job would be taken as never begun, its tasks started
-    beside themselves on other workers.
+    The list of progress records has one item whose key can't be read, that of a running
+    job. If the item were ignored, the job would count as never begun, and its tasks
+    would be started beside themselves on other workers.
     Given a fleet of 3 workers with 8 accelerators in 1 racks
     And 2 processes of ours
     And the tasks of a4 take 12 s
@@ -277,15 +278,15 @@
     And 175 s pass
     Then job e2 is shown as completed within 1 s
     When 90 s pass
-    Then nothing of e2 stands in the store
+    Then the store has nothing of e2
 
   Scenario Outline: On a drawn day of faults what was accepted ends once
-    Owners die or fall silent, the store goes down, drops its history, loses answers,
-    carries writes out late. Meanwhile jobs are handed in twice, and some cancelled.
+    Owners die or hang; the store goes down, drops its history, loses answers, carries
+    writes out late. Meanwhile jobs are submitted twice, and some cancelled.
     Given a fleet of 4 workers with 8 accelerators in 2 racks
     And 3 processes of ours
     When the day of faults of seed <seed> is played
-    Then every job was shown truly, ran once and left one record
+    Then every job was shown correctly, ran once and left one record
 
     Examples:
       | seed |
--- a/features/work/running.feature
+++ b/features/work/running.feature
@@ -1,5 +1,5 @@
 Feature: Jobs of steps run to their end on the fleet
-  A caller hands a job in at any process; one process schedules it on the workers.
+  A caller submits a job at any process; one process schedules it on the workers.
 
   Background:
     Given a fleet of 4 workers with 8 accelerators in 2 racks
@@ -15,9 +15,9 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: A pass that starts a whole step keeps to its bound on one worker
-    A pass places all tasks of a step before any of them stands on a worker. Were
-    they not counted as they are placed, more of them than the caller allows would
-    share one worker, and one loss would take them all.
+    A pass places all tasks of a step before any of them runs on a worker. If they were
+    not counted as they are placed, more of them than the caller allows would share one
+    worker, and one loss would take them all.
     When job a2 is handed in with steps
       | count | accelerators | most per worker |
       | 8     | 1            | 2               |
@@ -43,8 +43,8 @@
     And job a4 is shown as cancelled within 1 s
 
   Scenario: Guaranteed work has its accelerators back in time
-    Patient work of others holds every accelerator when a guaranteed job comes. If
-    it were to wait for them to end, an operator would show an untested sky.
+    Low-priority work of others holds every accelerator when a guaranteed job arrives.
+    If the job waited for that work to end, an operator would show an untested sky.
     Given domes is guaranteed 16 accelerators
     And the tasks of b1 take 60 s
     When job b1 is handed in to patient by post with steps
--- a/features/work/services.feature
+++ b/features/work/services.feature
@@ -1,22 +1,23 @@
 Feature: Services that last, batch work that fills in, and workers that need a ticket
 
   Scenario: Batch work beside a service makes way at once
-    Batch work uses what a service leaves idle on its worker. The service's own
-    users arrive faster, and each of them waits twice as long as promised while the
-    batch work goes on.
+    Best-effort batch work uses what a service leaves idle on its worker. When the
+    service's load rises, each of its users waits twice as long as the latency target
+    while the batch work goes on.
     Given a fleet of 1 workers with 8 accelerators in 1 racks
     And 2 processes of ours
-    When a service with a target of 100 ms and batch work that fills beside it run
+    When a service with a target of 100 ms and best-effort batch work beside it run
     And 6 s pass
     Then the service is never over its target for 4 s
     And the batch work still works at times
 
   Scenario: The next owner does not know how fast batch work was let go
-    The owner had told it to stand still, and its machine is lost. Left alone, the
-    batch work would stand still for ever, or go on at a speed that nobody chose.
+    The owner had paused the batch work, and its machine is lost. If no owner set a
+    speed, the batch work would stay paused for ever, or go on at a speed that nobody
+    chose.
     Given a fleet of 1 workers with 8 accelerators in 1 racks
     And 2 processes of ours
-    When a service with a target of 100 ms and batch work that fills beside it run
+    When a service with a target of 100 ms and best-effort batch work beside it run
     And 6 s pass
     And the scheduling process dies
     And 12 s pass
@@ -24,8 +25,9 @@
     And the speed of the batch work is chosen anew
 
   Scenario: A service comes back however often it fails on a worker
-    A service may fail at any time. Were each worker left out on which it failed, it
-    would have none left after the second failure, and stay away for good.
+    A service may fail at any time. If each worker on which it failed were excluded,
+    none would be left after the second failure, and the service would stay away for
+    good.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
     And 1 processes of ours
     When a service that fails every 3 s runs
@@ -34,8 +36,8 @@
     And it is there
 
   Scenario: A service that fails in a full fleet takes the place of batch work
-    Every accelerator is taken again within milliseconds of a service's failure, and
-    its users find nothing there until a table of a minute has ended.
+    Every accelerator is taken again within milliseconds of a service's failure, and its
+    users find nothing there until a table of a minute has ended.
     Given a fleet of 1 workers with 8 accelerators in 1 racks
     And 1 processes of ours
     When a service of 8 accelerators that fails every 3 s runs beside tables of 60 s
@@ -43,8 +45,8 @@
     Then the service was started at least 4 times
 
   Scenario: A step starts only where the advice service allows it
-    Without the service's ticket a worker refuses the start. A scheduler that does
-    not ask is refused for ever, and the caller's job never begins.
+    Without the advice service's ticket a worker refuses the start. A scheduler that
+    does not ask is refused for ever, and the caller's job never begins.
     Given a fleet of 4 workers with 8 accelerators in 2 racks
     And queues whose workers only the advice service knows, w2 and w3
     And 2 processes of ours
@@ -69,8 +71,8 @@
     And it was started on w2 and w3 only
 
   Scenario: A ticket runs out before the second step begins
-    Tickets are good for a few seconds. Work that waited for room longer than that is
-    refused by the worker unless a new one is asked for.
+    Tickets are valid for a few seconds. A worker refuses the start of work that waited
+    longer than that, unless a new ticket is requested.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
     And queues whose workers only the advice service knows, w1 and w2
     And 1 processes of ours
--- a/features/work/slow_owner.feature
+++ b/features/work/slow_owner.feature
@@ -1,15 +1,15 @@
 Feature: An owner that can't do its work gives the ownership up
   An owner renews its lease with a few bytes, so it may keep the ownership while it
-  hears no wish, reaches no worker and writes no record.
+  receives no caller requests, reaches no worker and writes no record.
 
   Background:
     Given a fleet of 4 workers with 8 accelerators in 2 racks
     And 3 processes of ours
 
   Scenario: The owner's link can't carry the fleet
-    The link of the owner's VM is shared with a neighbour and carries a hundredth of
-    what it should. Renewals get through; what callers wish and what the workers answer
-    doesn't. Jobs were accepted by the other processes, and none of them ever started.
+    The link of the owner's VM is shared with a neighbour and has a hundredth of its
+    usual bandwidth. Lease renewals get through, but caller requests and workers'
+    answers don't. The other processes accepted jobs, and none of them ever started.
     Given the tasks of e1 take 20 s
     And the tasks of e2 take 2 s
     When job e1 is handed in with steps
@@ -28,10 +28,10 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario: The owner's processor can't keep up with the workers
-    An answer takes so long to be taken in that those behind it come too late: the
-    owner's log is full of workers that don't answer, while all of them do.
+    The owner takes so long to process an answer that the answers queued behind it time
+    out: its log is full of workers that don't answer, while all of them do.
     Given the tasks of e2 take 2 s
-    When the processor of the scheduling process takes 0.3 s over an answer
+    When the processor of the scheduling process takes 0.3 s to process an answer
     And 1 s pass
     And job e2 is handed in at another process with steps
       | count | accelerators |
@@ -41,9 +41,9 @@
     And the fleet's ledger shows nothing wrong
 
   Scenario Outline: The owner's calls to workers go unanswered
-    The way from the owner's VM to the workers is broken, and that of no other VM. Its
-    renewals and records get through. What it starts is started and given up, again and
-    again, for workers that are well.
+    The network between the owner's VM and the workers is broken, and that of no other
+    VM. Lease renewals and records get through. Tasks are started and their starts given
+    up, again and again, for healthy workers.
     Given the tasks of e6 take 20 s
     And the tasks of e7 take 2 s
     When job e6 is handed in with steps
@@ -65,35 +65,35 @@
       | 10   |
       | 8    |
 
-  Scenario: The owner hears no wish while all else goes on
-    Its connections for long answers hang, those for short ones don't. Cancellations
-    that were accepted elsewhere never reach it, and callers pay for what runs on.
+  Scenario: The owner receives no caller requests while all else goes on
+    Its connections for watches hang, those for short calls don't. Cancellations that
+    other processes accepted never reach it, and callers pay for runs that go on.
     Given the tasks of e3 take 60 s
     When job e3 is handed in with steps
       | count | accelerators |
       | 2     | 1            |
     And e3 runs on the fleet
-    And the scheduling process can't read wishes
+    And the scheduling process can't read caller requests
     And job e3 is cancelled at another process
     Then another process schedules within 9 s
     And nothing of e3 runs after 2 s
     And the fleet's ledger shows nothing wrong
 
-  Scenario: Nothing of a job starts that may have been cancelled unheard
-    The owner's reads fail for some seconds while its writes go on. A caller cancels a
-    job of many tasks meanwhile, and is told that it is cancelled; more of its tasks
-    were started all the same, one after another as the ones before them ended.
+  Scenario: Nothing starts of a job whose cancellation may have been missed
+    The owner's reads fail for some seconds while its writes succeed. A caller cancels a
+    job of many tasks meanwhile and is told that it is cancelled; more of its tasks were
+    started all the same, one after another as earlier ones ended.
     Given the tasks of e4 take 1 s
     When job e4 is handed in with steps
       | count | accelerators |
       | 40    | 8            |
     And 1 s pass
-    And the scheduling process can't read wishes for 6 s, and e4 is cancelled after 0.5 s
+    And the scheduling process can't read caller requests for 6 s, and e4 is cancelled after 0.5 s
     Then nothing of e4 started later than 3 s after that
     And the fleet's ledger shows nothing wrong
 
   Scenario Outline: An owner that can't write stops nothing for others
-    Guards against work that is thrown away for starts which can't be recorded.
+    Guards against preempting work for starts that can't be recorded.
     Given the tasks of b1 take 60 s
     When job b1 is handed in to patient by post with steps
       | count | accelerators | checkpoints |
@@ -110,41 +110,41 @@
     And the fleet's ledger shows nothing wrong
 
     Examples:
-      | refuses     | wait |
-      | turns away  | 1.2  |
-      | is cut from | 1    |
+      | refuses         | wait |
+      | refuses         | 1.2  |
+      | is cut off from | 1    |
 
   Scenario: No process can do better
-    One process alone is left, and it hears no wish. Were it to leave the fleet without
-    an owner, the leases of the workers would lapse, and with them all that runs.
+    Only one process is left, and it receives no caller requests. If it left the fleet
+    without an owner, the workers' leases would expire and every run would be lost.
     Given the tasks of e5 take 30 s
     When job e5 is handed in with steps
       | count | accelerators |
       | 2     | 1            |
     And e5 runs on the fleet
-    And only the scheduling process is left, and it can't read wishes for 15 s
+    And only the scheduling process is left, and it can't read caller requests for 15 s
     Then it owned the fleet for most of that time
     And job e5 is shown as completed within 25 s
     And every task of e5 was started once
     And the fleet's ledger shows nothing wrong
 
   Scenario Outline: Trouble of the store that all processes share
-    Handing the ownership on helps nobody then: each change costs the seconds in which
-    nothing new starts.
-    When the store is <trouble> for <seconds> s
+    A change of owner doesn't help here: during each change nothing new starts for
+    seconds.
+    When the store is <fault> for <seconds> s
     Then the ownership changed at most <most> times
 
     Examples:
-      | trouble                          | seconds | most |
-      | down with its leases paused      | 8       | 0    |
-      | hanging with its leases paused   | 8       | 0    |
-      | hanging                          | 8       | 1    |
-      | sixty times slower               | 20      | 0    |
-      | unable to read wishes for anyone | 30      | 3    |
+      | fault                                     | seconds | most |
+      | down with its leases paused               | 8       | 0    |
+      | hanging with its leases paused            | 8       | 0    |
+      | hanging                                   | 8       | 1    |
+      | sixty times slower                        | 20      | 0    |
+      | unable to read caller requests for anyone | 30      | 3    |
 
   Scenario Outline: All processes come back after an outage
-    All VMs lose power at once, and the store is away until after they are back. Work
-    that was accepted waits for an owner.
+    All VMs lose power at once, and the store returns after them. Accepted work waits
+    for an owner.
     Given VMs with <cores> cores and <mbps> Mbit/s from now on
     When all processes die while the store is down, are back, and the store after 5 s
     Then a process schedules within 3 s
@@ -155,9 +155,9 @@
       | 0.5   | 5    |
 
   Scenario: The count of owners that gave up can't be read
-    Another version, or an operator, wrote under its key what nobody can read. Each
-    owner failed at that in its first second, and no job ever ran.
-    Given nobody can read the count of owners that gave up
+    Another version, or an operator, wrote an unreadable value under its key. Each owner
+    failed on it in its first second, and no job ever ran.
+    Given the store has an unreadable count of owners that resigned
     And the tasks of e8 take 2 s
     When the scheduling process dies
     Then another process schedules within 2.5 s
@@ -165,19 +165,19 @@
       | count | accelerators |
       | 2     | 1            |
     Then job e8 is shown at another process as completed within 6 s
-    And the count of owners that gave up is gone after 25 s
+    And the count of owners that resigned is gone after 25 s
 
   Scenario: An owner that gave up stands again last
-    A VM that has shown that it can't do the work would take the ownership back at
-    the next vacancy, and the fleet would wait for another to take it again.
-    When the scheduling process can't read wishes
+    A VM that was found unable to do the work would win the next election, and the fleet
+    would wait for another change of owner.
+    When the scheduling process can't read caller requests
     Then another process schedules within 9 s
-    When it can read wishes again
+    When it can read caller requests again
     And the scheduling process dies
-    Then the one that gave up does not schedule within 3 s
+    Then the one that resigned does not schedule within 3 s
 
   Scenario: The order in which VMs stand for a vacancy
-    Then VMs stand for the ownership after these seconds
+    Then VMs run for election after these seconds
       | processor | link   | from  | to    |
       | 2.1       | 200    | 0     | 0     |
       | 1.07      | 1000   | 0     | 0     |
@@ -189,7 +189,7 @@
       | 0.01      | 0.01   | 0.5   | 0.5   |
 
   Scenario Outline: What the owner's measures show
-    Given an owner whose work is sound
+    Given a healthy owner
     And its <measure> is <value>
     When it is judged for 2 s
     Then it <does>
@@ -197,20 +197,20 @@
     Examples:
       | measure       | value | does                                |
       | wishes_age    | 3.9   | stays                               |
-      | wishes_age    | 4.1   | gives up: wishes not heard          |
+      | wishes_age    | 4.1   | resigns: wishes not heard           |
       | records_age   | 4.9   | stays                               |
-      | records_age   | 5.1   | gives up: records not written       |
+      | records_age   | 5.1   | resigns: records not written        |
       | heard         | 50    | stays                               |
-      | heard         | 49    | gives up: workers not heard         |
+      | heard         | 49    | resigns: workers not heard          |
       | loop_delay    | 0.39  | stays                               |
-      | loop_delay    | 0.41  | gives up: processor behind          |
+      | loop_delay    | 0.41  | resigns: processor behind           |
       | unanswered    | 0.49  | stays                               |
-      | unanswered    | 0.51  | gives up: calls not answered        |
+      | unanswered    | 0.51  | resigns: calls not answered         |
 
   Scenario Outline: The store has not answered for long enough to judge by
-    Right after an outage every owner's work is behind. Another would have to read all
-    anew, and be no further.
-    Given an owner whose work is sound
+    Right after an outage every owner is behind. Another owner would have to read
+    everything again and be no faster.
+    Given a healthy owner
     And its <measure> is <value>
     And its store_answers is 3
     When it is judged for 2 s
@@ -225,16 +225,16 @@
       | unanswered  | 1     |
 
   Scenario: One bad moment changes nothing
-    Given an owner whose work is sound
+    Given a healthy owner
     And its wishes_age is 9
     When it is judged for 0.9 s
     Then it stays
 
   Scenario Outline: Each owner serves longer the more have given up before it
-    Given an owner whose work is sound
+    Given a healthy owner
     And its wishes_age is 90
-    And <before> owners gave up before it
-    Then it may give up after <seconds> s, and stands last for <pause> s afterwards
+    And <before> owners resigned before it
+    Then it may resign after <seconds> s, and is the last candidate for <pause> s afterwards
 
     Examples:
       | before               | seconds | pause |
--- a/features/work/submitting.feature
+++ b/features/work/submitting.feature
@@ -1,5 +1,6 @@
 Feature: Callers hear the truth about what they hand in
-  A job is accepted once the store has it, and "not run" is said only when it is sure.
+  A job is accepted once the store has it, and callers are told "not run" only when it
+  is certain.
 
   Background:
     Given a fleet of 2 workers with 8 accelerators in 1 racks
@@ -15,8 +16,8 @@
     Then the second is told conflict
 
   Scenario: The answer to a submission is lost
-    The store has written the job, but its answer never comes. The caller must not
-    be told that the job did not run, since it will.
+    The store has written the job, but its answer is lost. The caller must not be told
+    that the job did not run, since it will.
     When the answers to the next 1 writes are lost
     And job g3 is handed in at p1
     Then the caller is told that it was accepted
@@ -33,8 +34,8 @@
     Then 1 task of g4 was started in 8 s
 
   Scenario: The store is known to be down
-    The caller is told at once that the job did not run, and when to come back; held
-    until its deadline, it could not try elsewhere.
+    The caller is told at once that the job did not run, and when to retry; held until
+    its deadline, it could not try elsewhere.
     When the store goes down and its leases pause
     And 1 s pass
     And job g5 is handed in at p1
@@ -42,16 +43,16 @@
     And 0 tasks of g5 were started in 5 s
 
   Scenario: The policy changes under a submission
-    A key is taken away between the moment at which a process read the policy and
-    the write of the job. The store refuses the write and shows the newer policy.
+    A key is revoked between the read of the policy and the write of the job. The store
+    refuses the write and returns the newer policy.
     When the key of domes is taken away
     And job g6 is handed in at p1 at once
     Then the caller is told unauthenticated
 
   Scenario: A process that is cut off from the store stops serving by its policy
-    It can't know whether a key is still good, so it refuses before the time at which
-    a key that was taken away must be useless.
-    When p1 is turned away by the store
+    The process can't know whether a key is still valid, so it refuses before the time
+    at which a revoked key must stop working.
+    When p1 is refused by the store
     And 2 s pass
     Then p1 is not ready
     And a call with the key of domes at p1 is told store_unavailable
@@ -60,7 +61,7 @@
   Scenario: An older policy never comes back into force
     When policy version 5 is in force
     And p1 is shown policy version 4 by a late answer
-    Then p1 goes on by version 5
+    Then p1 uses version 5
 
   Scenario: A cancelled job that does not exist is said not to exist
     Then cancelling job g9 at p1 finds none
@@ -80,10 +81,10 @@
 
   Scenario: A queue gets another name while a job waits in it
     Operators remove a queue and add it again under another name; callers go on using
-    the same path. Compared by the names, the job that waits is in no queue any more:
-    its caller is told that there is no such job, a call that is repeated since it was
-    never answered is told that another job has the id, and one who cancels the job is
-    told that there is none, while it starts all the same.
+    the same path. If queues were compared by name, the waiting job would be in no queue
+    any more: its caller would be told that there is no such job, a repeat of an
+    unanswered call that another job has the id, and a caller who cancels the job that
+    there is none, while it starts all the same.
     Given the tasks of h3 take 30 s
     When job h3 is handed in with steps
       | count | accelerators |
@@ -110,7 +111,8 @@
     And at the path of usual job r2 is shown as queued
 
   Scenario Outline: A read of the policy is never answered
-    Guards against a process that refuses callers since one connection has gone silent.
+    Guards against a process that refuses all callers because one connection has gone
+    silent.
     Given a process whose proof of the policy holds for <holds> s
     When it runs for 20 s while reads take 0.2 s and every tenth fails after 1 s
     Then its policy was recent all the time
@@ -122,8 +124,8 @@
       | 0.8   |
 
   Scenario Outline: The policy is read as often as its proof asks for
-    Guards against reads by every VM that no bound needs, and against a proof that
-    lapses at the first read that fails.
+    Guards against every VM reading more often than the bound needs, and against a proof
+    that lapses at the first failed read.
     Given a process whose proof of the policy holds for <holds> s
     When it runs for 20 s while every third read fails after 0.3 s
     Then it has read the policy at most <most> times
--- a/features/work/waiting.feature
+++ b/features/work/waiting.feature
@@ -22,10 +22,10 @@
     Then another process counts 3 waiting jobs
 
     Examples:
-      | wrong                                      |
-      | the key of a waiting job is missing        |
-      | the key of a job that has begun still stands |
-      | the key of a job that is gone still stands |
+      | wrong                                           |
+      | the key of a waiting job is missing             |
+      | the key of a job that has begun is still there  |
+      | the key of a job that is gone is still there    |
 
   Scenario: A job that is cancelled before it starts waits no more
     Given 20 jobs of 4 tasks run, and 3 wait
