--- a/features/fuzzing/clocks.feature
+++ b/features/fuzzing/clocks.feature
@@ -1,10 +1,10 @@
 Feature: A worker's lease is judged rightly whatever one of its answers tells
 
   Scenario: One wrong time never makes a lease count as over while tasks run by it
-    Then 2000 drawn courses with 1 wrong time end no lease early
+    Then 2000 drawn call sequences with 1 wrong time end no lease early
 
   Scenario: Two times that are far off, and alike, don't either
-    Then 2000 drawn courses with 2 times far off end no lease early
+    Then 2000 drawn call sequences with 2 times far off end no lease early
 
   Scenario: A lease is over in time, after a wrong time too
-    Then 1000 drawn courses with 1 wrong time end each lease in time
+    Then 1000 drawn call sequences with 1 wrong time end each lease in time
--- a/features/fuzzing/clocks.py
+++ b/features/fuzzing/clocks.py
@@ -1,4 +1,4 @@
-"""One worker's clock and lease beside what an owner makes of its answers."""
+"""One worker's clock and lease, and the owner's estimate of them from its answers."""
 
 import math
 from dataclasses import dataclass
@@ -10,24 +10,24 @@
     WorkerClock,
 )
 
-LONGEST_SECONDS = 10.0
+MAX_LEASE_SECONDS = 10.0
 SILENCE_SECONDS = 30.0
 STEP_SECONDS = 0.05
-FAR = (7.0, 3600.0, 1e9, -3600.0)
-WRONG_BY = (0.2, 0.9, 2.0, -0.5, -3.0, *FAR)
+FAR_SECONDS = (7.0, 3600.0, 1e9, -3600.0)
+WRONG_BY_SECONDS = (0.2, 0.9, 2.0, -0.5, -3.0, *FAR_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call and its answer, all in seconds.
+    """One call and its answer.
 
     Attributes:
-        pause: Before it is sent.
-        out: On its way there.
-        waits: At the worker, before its answer is made.
-        back: On its way back.
-        wrong: Added to the time that the answer tells.
-        lost: No answer comes.
+        pause: Seconds before the call is sent.
+        out: Seconds from the owner to the worker.
+        waits: Seconds at the worker before the answer is made.
+        back: Seconds from the worker to the owner.
+        wrong: Seconds added to the worker's time in the answer.
+        lost: Whether no answer arrives.
     """
 
     pause: float
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Course:
-    """Calls to a worker, then silence."""
+    """Calls to a worker, followed by silence."""
 
     rate: float
     began: float
@@ -48,9 +48,9 @@
 
 
 def make_courses(
-    wrong_answers: int, wrong_by: tuple[float, ...] = WRONG_BY
+    wrong_answers: int, wrong_by: tuple[float, ...] = WRONG_BY_SECONDS
 ) -> st.SearchStrategy[Course]:
-    """Return courses with so many answers that tell a wrong time, at the most."""
+    """Return courses with at most `wrong_answers` answers that hold a wrong time."""
     ways = st.sampled_from((0.0, 0.002, 0.05, 0.3))
     honest = st.builds(
         Call,
@@ -86,7 +86,7 @@
 
 
 class Worker:
-    """What the pages say of a worker's lease."""
+    """A worker's lease as the specification defines it."""
 
     def __init__(self, course: Course) -> None:
         self.until = 0.0
@@ -96,7 +96,7 @@
         return self._course.began + now * self._course.rate
 
     def take(self, until: float, now: float) -> None:
-        longest = self.read_clock(now) + LONGEST_SECONDS
+        longest = self.read_clock(now) + MAX_LEASE_SECONDS
         self.until = max(self.until, min(until, longest))
 
     def runs(self, now: float) -> bool:
@@ -104,11 +104,11 @@
 
 
 def play(course: Course) -> tuple[WorkerClock, Worker, float, float]:
-    """Make the calls; return both clocks, the time, and when one was last sent."""
-    clock = WorkerClock("v0", LONGEST_SECONDS)
+    """Make the calls; return both clocks, the time, and that of the last extension."""
+    clock = WorkerClock("v0", MAX_LEASE_SECONDS)
     worker = Worker(course)
-    now = asked_at = 100.0
-    # An earlier owner asked for as much as there is.
+    now = extended_at = 100.0
+    # An earlier owner requested the longest lease.
     worker.take(math.inf, now)
     for call in course.calls:
         now += call.pause
@@ -117,17 +117,17 @@
         if clock.known:
             until = clock.extend(now)
             worker.take(until, now + call.out)
-            asked_at = now
+            extended_at = now
         now += call.out + call.waits
         told = worker.read_clock(now) + call.wrong
         now += call.back
         if not call.lost:
             clock.note(ClockReading(max(0.0, told), sent_at, now))
-    return clock, worker, now, asked_at
+    return clock, worker, now, extended_at
 
 
 def check_never_early(course: Course) -> None:
-    """A lease never counts as over while the worker goes by it."""
+    """A lease never counts as over while the worker's own clock is within it."""
     clock, worker, now, _ = play(course)
     for step in range(int(SILENCE_SECONDS / STEP_SECONDS)):
         at = now + step * STEP_SECONDS
@@ -135,12 +135,12 @@
 
 
 def check_not_late(course: Course) -> None:
-    """A lease counts as over soon after its end, and an honest worker is known."""
-    clock, _, now, asked_at = play(course)
+    """A lease counts as over soon after its end, and a correct clock becomes known."""
+    clock, _, now, extended_at = play(course)
     answered = sum(not call.lost for call in course.calls)
     if not any(call.wrong for call in course.calls):
         assert clock.known or answered < 2, "not known after two answers"
-    # A lease that earlier owners may have asked for lasts the longest; a time may be
-    # wrong by what a call takes on its way.
-    end = max(now, asked_at) + LONGEST_SECONDS / 0.97 + 3.0
+    # Earlier owners may have requested the longest lease; a time may be wrong by a
+    # call's travel time.
+    end = max(now, extended_at) + MAX_LEASE_SECONDS / 0.97 + 3.0
     assert clock.is_lease_over(end) or not clock.known, "not over in time"
--- a/features/fuzzing/gangs.py
+++ b/features/fuzzing/gangs.py
@@ -1,4 +1,4 @@
-"""Hypothesis drives placers, store and workers into trouble; the oracle watches."""
+"""A Hypothesis state machine of gangs under faults, checked by an oracle."""
 
 import sys
 
@@ -19,11 +19,11 @@
 LEAVING_LIMIT = 1
 PAUSES = (0.05, 1.0, 3.0, 8.0, 16.0)
 OWNER = "owner"
-# Most of what goes wrong does so around the cell's owner.
+# Most faults happen around the cell's owner.
 placers = st.sampled_from((OWNER, OWNER, *PLACERS))
 workers = st.sampled_from(WORKERS)
-# A slow store may carry a write out long after its sender gave up on it; by then
-# the sender may have lost its cell.
+# A slow store may carry a write out long after its caller timed out; by then the
+# caller may have lost its cell.
 late = st.sampled_from((0.5, 4.0, 10.0))
 fates = st.lists(st.sampled_from(Fate), min_size=1, max_size=3)
 
--- a/features/fuzzing/running.py
+++ b/features/fuzzing/running.py
@@ -16,9 +16,9 @@
 def run_machine(
     machine: type[RuleBasedStateMachine], examples: int, steps: int
 ) -> None:
-    """Raise the oracle's complaint, with the shortest run that brings it about.
+    """Raise the oracle's assertion for the shortest failing run.
 
-    Fresh seeds are printed, so that a run that fails can be had again.
+    Fresh seeds are printed, so that a failing run can be repeated.
     """
     explore_seconds = float(os.environ.get(EXPLORE_VARIABLE, "0"))
     if not explore_seconds:
@@ -37,7 +37,7 @@
 def run_property(
     check: Callable[[Any], None], values: strategies.SearchStrategy[Any], examples: int
 ) -> None:
-    """Raise a property's complaint, with the simplest value that it fails for."""
+    """Raise a property's assertion for the simplest failing value."""
 
     def test(value: Any) -> None:
         check(value)
--- a/features/fuzzing/settings.py
+++ b/features/fuzzing/settings.py
@@ -1,4 +1,4 @@
-"""Hypothesis lets operators race and the store fail; the oracle watches settings."""
+"""A Hypothesis state machine of settings under faults, checked by an oracle."""
 
 import sys
 
--- a/features/fuzzing/work.py
+++ b/features/fuzzing/work.py
@@ -1,4 +1,4 @@
-"""Hypothesis drives owners, store and workers into trouble; the oracle watches."""
+"""A Hypothesis state machine of work on the fleet under faults, with an oracle."""
 
 import sys
 from typing import Any
@@ -19,16 +19,16 @@
 
 JOB_LIMIT = 4
 FOREIGN_LIMIT = 2
-# Outlasts the wait for a worker that can't be asked; one such job a run.
+# Longer than a new owner waits for an unreachable worker; one such job a run.
 LONG_SECONDS = 40.0
-# Until a wrong time is told, and known as told.
+# Steps until a wrong time has been returned and processed.
 TOLD_STEPS = 60
 TOLD_STEP_SECONDS = 0.05
 PAUSES = (0.05, 0.3, 1.0, 3.0, 8.0)
-# Longer than a new owner waits for a worker that never answered it.
+# The longest exceeds a new owner's wait for a worker that never answered it.
 LONG_PAUSES = (3.0, 8.0, 20.0)
 OWNER = "owner"
-# Most of what goes wrong does so around the owner.
+# Most faults happen around the owner.
 processes = st.sampled_from((OWNER, OWNER, *PROCESSES))
 vms = st.sampled_from(VMS)
 waits = st.sampled_from(PAUSES)
@@ -51,10 +51,10 @@
     "gang after tasks": [{"count": 2}, {"count": 2, "gang": True, "after": [0]}],
 }
 shapes = st.sampled_from(sorted(SHAPES))
-# Times that a worker tells wrongly, and numbers of ends.
+# Errors in seconds of a worker's time, and errors of its end numbers.
 jumps = st.sampled_from((3600.0, 12.0, 2.0, 0.5, -2.0, -3600.0))
 number_jumps = st.sampled_from((1, 2, 1000, 900_000))
-# What another writer leaves under a live worker's own key; of a good entry, a part.
+# Parts of a valid entry, and what another writer puts in their place.
 FOREIGN_PARTS: tuple[tuple[bytes, bytes], ...] = (
     (b'"state": "ready"', b'"state": "asleep"'),
     (b'"service": "engine"', b'"service": "other"'),
@@ -74,7 +74,7 @@
 
 
 def make_entry(vm: str) -> bytes:
-    """Return a worker's entry as it writes it itself."""
+    """Return an entry as the worker itself writes it."""
     entry = PlatformEntry("", make_address(vm), "r1", ACCELERATORS, ())
     return entry.encode()
 
--- a/features/steps/fuzzing_clocks_steps.py
+++ b/features/steps/fuzzing_clocks_steps.py
@@ -2,7 +2,7 @@
 
 from behave import then
 from features.fuzzing.clocks import (
-    FAR,
+    FAR_SECONDS,
     check_never_early,
     check_not_late,
     make_courses,
@@ -10,16 +10,16 @@
 from features.fuzzing.running import run_property
 
 
-@then("{count:d} drawn courses with 1 wrong time end no lease early")
+@then("{count:d} drawn call sequences with 1 wrong time end no lease early")
 def run_early(context: Any, count: int) -> None:
     run_property(check_never_early, make_courses(1), count)
 
 
-@then("{count:d} drawn courses with 2 times far off end no lease early")
+@then("{count:d} drawn call sequences with 2 times far off end no lease early")
 def run_far(context: Any, count: int) -> None:
-    run_property(check_never_early, make_courses(2, FAR), count)
+    run_property(check_never_early, make_courses(2, FAR_SECONDS), count)
 
 
-@then("{count:d} drawn courses with 1 wrong time end each lease in time")
+@then("{count:d} drawn call sequences with 1 wrong time end each lease in time")
 def run_late(context: Any, count: int) -> None:
     run_property(check_not_late, make_courses(1), count)
--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -125,7 +125,7 @@
     assert len(tasks) == 2, tasks
     for task in tasks:
         used = TASK_LEASE_SECONDS - task.lease_seconds
-        # A lease is shortened by the age of what is known of other members.
+        # A lease is shortened by the age of the last answers of the other members.
         assert used <= 2 * seconds, task
 
 
@@ -186,7 +186,7 @@
 
 
 @then("the job of the fuzzed cell has failed after at most {count:d} starts")
-def check_given_up(context: Any, count: int) -> None:
+def check_failed(context: Any, count: int) -> None:
     record = read_only_job(context)
     assert record.state is JobState.FAILED, record.state
     starts = {run.task_id for run in context.deployment.list_runs()}
@@ -234,8 +234,8 @@
     assert not context.cancelled or moved.cancel_requested
 
 
-@then("every promise about gangs holds in the fuzzed cell")
-def check_promises(context: Any) -> None:
+@then("every invariant of gangs holds in the fuzzed cell")
+def check_invariants(context: Any) -> None:
     check_gangs(context.deployment)
 
 
@@ -282,8 +282,8 @@
     context.counter.hang_up(0)
 
 
-@when("a clerk's surcharge run waits in an entry that sleeps")
-def send_to_sleeper(context: Any) -> None:
+@when("a clerk's surcharge run waits in a suspended entry")
+def send_to_suspended(context: Any) -> None:
     context.counter.pause("e1")
     context.counter.send_new("e1", idempotent=False, seconds=3.0)
     context.counter.advance(2.5)
@@ -296,8 +296,8 @@
     assert context.counter.requests[0].calls[1].answer is not None
 
 
-@when("the first entry wakes while the store is down")
-def wake_without_store(context: Any) -> None:
+@when("the first entry resumes while the store is down")
+def resume_without_store(context: Any) -> None:
     context.counter.store.faults.down = True
     context.counter.resume("e1")
     context.counter.advance(10.0)
@@ -319,16 +319,16 @@
     check_requests(context.counter)
 
 
-@then("{runs:d} runs of {steps:d} steps with placers and workers keep every promise")
+@then("{runs:d} runs of {steps:d} steps with placers and workers hold every invariant")
 def run_gangs(context: Any, runs: int, steps: int) -> None:
     run_machine(GangMachine, runs, steps)
 
 
-@then("{runs:d} runs of {steps:d} steps with entries and targets keep every promise")
+@then("{runs:d} runs of {steps:d} steps with entries and targets hold every invariant")
 def run_requests(context: Any, runs: int, steps: int) -> None:
     run_machine(RequestMachine, runs, steps)
 
 
-@then("{runs:d} runs of {steps:d} steps with operators and stores keep every promise")
+@then("{runs:d} runs of {steps:d} steps with operators and stores hold every invariant")
 def run_settings(context: Any, runs: int, steps: int) -> None:
     run_machine(SettingsMachine, runs, steps)
--- a/features/steps/fuzzing_work_steps.py
+++ b/features/steps/fuzzing_work_steps.py
@@ -11,24 +11,24 @@
 
 from primrosestile.state.work import JobState
 
-# More than one owner looks within a run.
-SLOW_LOOKS = 1000
+# More polls than one owner makes within a run.
+SLOW_POLLS = 1000
 SLOW_SETTLE_SECONDS = 3.0
 
 
 @then(
-    "{runs:d} runs of {steps:d} steps with owners, a store and a fleet keep every"
-    " promise"
+    "{runs:d} runs of {steps:d} steps with owners, a store and a fleet hold every"
+    " invariant"
 )
 def run_work(context: Any, runs: int, steps: int) -> None:
     run_machine(WorkMachine, runs, steps)
 
 
-@given("a fleet in trouble with 2 processes of ours")
+@given("a fuzzed fleet with 2 processes of ours")
 def give_world(context: Any) -> None:
-    context.troubled = WorkWorld()
-    context.cleanups.append(context.troubled.close)
-    context.troubled.begin()
+    context.fuzzed = WorkWorld()
+    context.cleanups.append(context.fuzzed.close)
+    context.fuzzed.begin()
 
 
 def find_other(world: WorkWorld) -> str:
@@ -38,25 +38,25 @@
     return others[0] if others else owner
 
 
-@when("a job of {shape} of {seconds:g} s is handed in to the fleet in trouble")
-def hand_in(context: Any, shape: str, seconds: float) -> None:
-    world = context.troubled
+@when("a job of {shape} of {seconds:g} s is submitted to the fuzzed fleet")
+def submit(context: Any, shape: str, seconds: float) -> None:
+    world = context.fuzzed
     world.hand_in(find_other(world), seconds, SHAPES[shape])
 
 
-@when("{seconds:g} s pass in the fleet in trouble")
+@when("{seconds:g} s pass in the fuzzed fleet")
 def pass_time(context: Any, seconds: float) -> None:
-    context.troubled.advance(seconds)
+    context.fuzzed.advance(seconds)
 
 
-@when("the owner of the fleet in trouble is killed")
+@when("the owner of the fuzzed fleet is killed")
 def kill_owner(context: Any) -> None:
-    context.troubled.kill_process(context.troubled.find_owner_name())
+    context.fuzzed.kill_process(context.fuzzed.find_owner_name())
 
 
-@then("the job on the fleet in trouble is known as completed")
+@then("the job on the fuzzed fleet is known as completed")
 def check_known(context: Any) -> None:
-    world: WorkWorld = context.troubled
+    world: WorkWorld = context.fuzzed
     job: Job = world.jobs[0]
     assert job.accepted, "the job was not accepted"
     state = world.do(world.read_job, job)
@@ -64,14 +64,14 @@
     check_ledger(world)
 
 
-@when("an entry {name} names the address of {vm} in the fleet in trouble")
+@when("an entry {name} names the address of {vm} in the fuzzed fleet")
 def list_foreign(context: Any, name: str, vm: str) -> None:
-    world = context.troubled
+    world = context.fuzzed
     world.do(world.list_foreign, name, vm)
 
 
-def hide_owner(world: WorkWorld, vm: str) -> str:
-    """Let nobody but the owner reach a VM; return the owner's name."""
+def cut_others_off(world: WorkWorld, vm: str) -> str:
+    """Cut all processes but the owner off from a VM; return the owner's name."""
     owner = world.find_owner_name()
     for name, seat in world.seats.items():
         if name != owner:
@@ -80,77 +80,75 @@
 
 
 @given(
-    "the next {count:d} orders of the owner of the fleet in trouble are lost before"
-    " their effect"
+    "the next {count:d} orders of the owner of the fuzzed fleet are lost before"
+    " they take effect"
 )
 def lose_orders(context: Any, count: int) -> None:
-    world = context.troubled
+    world = context.fuzzed
     link = world.seats[world.find_owner_name()].link
     link.order_ways.extend([Way.LOST_BEFORE] * count)
 
 
 @when(
-    "the owner of the fleet in trouble sleeps for {seconds:g} s, and no other reaches"
-    " {vm}"
+    "the owner of the fuzzed fleet is suspended for {seconds:g} s, and no other"
+    " process reaches {vm}"
 )
-def sleep_owner(context: Any, seconds: float, vm: str) -> None:
-    world = context.troubled
-    machine = world.seats[hide_owner(world, vm)].machine
+def suspend_owner(context: Any, seconds: float, vm: str) -> None:
+    world = context.fuzzed
+    machine = world.seats[cut_others_off(world, vm)].machine
     machine.pause()
     world.advance(seconds)
     world.do(machine.resume)
 
 
 @when(
-    "the owner of the fleet in trouble loses the store for {seconds:g} s, reaches {vm}"
-    " only, and no other reaches that"
+    "the owner of the fuzzed fleet loses the store for {seconds:g} s, reaches {vm}"
+    " only, and no other process does"
 )
 def lose_store(context: Any, seconds: float, vm: str) -> None:
-    world = context.troubled
-    owner = hide_owner(world, vm)
-    # Another worker would tell it of the successor.
+    world = context.fuzzed
+    owner = cut_others_off(world, vm)
+    # Any other worker's answer would reveal the successor to it.
     world.seats[owner].link.cut |= {make_address(each) for each in VMS if each != vm}
     world.store.faults.refused.add(owner)
     world.advance(seconds)
     world.store.faults.refused.discard(owner)
 
 
-@given(
-    "answers to looks come late in the fleet in trouble, and stops take {seconds:g} s"
-)
-def slow_looks(context: Any, seconds: float) -> None:
-    world = context.troubled
+@given("answers to polls come late in the fuzzed fleet, and stops take {seconds:g} s")
+def slow_polls(context: Any, seconds: float) -> None:
+    world = context.fuzzed
     for seat in world.seats.values():
-        seat.link.look_ways.extend([Way.SLOW_BACK] * SLOW_LOOKS)
+        seat.link.look_ways.extend([Way.SLOW_BACK] * SLOW_POLLS)
     for worker in world.serving.values():
         worker.faults.stop_seconds = seconds
     world.advance(SLOW_SETTLE_SECONDS)
 
 
 @given(
-    "{vm} refuses every start in the fleet in trouble for {seconds:g} s from"
+    "{vm} refuses every start in the fuzzed fleet for {seconds:g} s from"
     " {moment:g} s on"
 )
 def refuse_starts(context: Any, vm: str, seconds: float, moment: float) -> None:
-    world = context.troubled
+    world = context.fuzzed
     world.advance(moment)
     faults = world.serving[vm].faults
     faults.unhealthy = True
 
-    def take_again() -> None:
+    def accept_again() -> None:
         faults.unhealthy = False
 
-    world.do(lambda: asyncio.get_running_loop().call_later(seconds, take_again))
+    world.do(lambda: asyncio.get_running_loop().call_later(seconds, accept_again))
 
 
-@then("nothing ran twice in the fleet in trouble")
+@then("nothing ran twice in the fuzzed fleet")
 def check_nothing_twice(context: Any) -> None:
-    check_ledger(context.troubled)
+    check_ledger(context.fuzzed)
 
 
-@then("the job on the fleet in trouble is completed within {seconds:g} s")
+@then("the job on the fuzzed fleet is completed within {seconds:g} s")
 def check_completed(context: Any, seconds: float) -> None:
-    world: WorkWorld = context.troubled
+    world: WorkWorld = context.fuzzed
     until = world.runner.now + seconds
     while world.do(world.read_job, world.jobs[0]) is not JobState.COMPLETED:
         assert world.runner.now < until, f"not completed within {seconds} s"
@@ -158,17 +156,17 @@
     check_ledger(world)
 
 
-@then("each task was started once in the fleet in trouble")
+@then("each task was started once in the fuzzed fleet")
 def check_once(context: Any) -> None:
-    starts = Counter(task for task, _, _ in context.troubled.fleet.starts)
+    starts = Counter(task for task, _, _ in context.fuzzed.fleet.starts)
     assert starts and set(starts.values()) == {1}, starts
 
 
-@when("the next {count:d} writes come {seconds:g} s late in the fleet in trouble")
+@when("the next {count:d} writes come {seconds:g} s late in the fuzzed fleet")
 def late_writes(context: Any, count: int, seconds: float) -> None:
-    context.troubled.store.faults.late_writes = [seconds] * count
+    context.fuzzed.store.faults.late_writes = [seconds] * count
 
 
-@given("no process but the owner reaches {vm} in the fleet in trouble")
-def hide_vm(context: Any, vm: str) -> None:
-    hide_owner(context.troubled, vm)
+@given("no process but the owner reaches {vm} in the fuzzed fleet")
+def cut_vm_off(context: Any, vm: str) -> None:
+    cut_others_off(context.fuzzed, vm)
