--- a/src/primrosestile/coordination/work/__init__.py
+++ b/src/primrosestile/coordination/work/__init__.py
@@ -5,7 +5,7 @@
 - `job_submissions`: handles submissions, cancellations and state queries of callers.
 - `election`: elects the process that schedules, and its fence and lease.
 - `recorder`: writes the owner's records in batches under its fence.
-- `request_watch`: tells the owner of new jobs and cancellations.
+- `request_watch`: reads new jobs and cancellations for the owner.
 - `worker_discovery`: keeps the owner's list of workers current.
 - `worker_links`: one task for each worker: its lease, its running and ended runs.
 - `orders`: records each decision, then starts runs; repeats stops until confirmed.
--- a/src/primrosestile/coordination/work/advisor.py
+++ b/src/primrosestile/coordination/work/advisor.py
@@ -11,7 +11,7 @@
 from primrosestile.decisions.work.advice import (
     Question,
     choose_question,
-    note_answer,
+    record_answer,
 )
 from primrosestile.decisions.work.durations import Durations
 from primrosestile.decisions.work.fleet_state import FleetState
@@ -38,7 +38,7 @@
         wake: Callable[[], None],
     ) -> None:
         self._calls = calls
-        self._board = fleet_state
+        self._fleet_state = fleet_state
         self._durations = durations
         self._term = term
         self._wake = wake
@@ -59,10 +59,10 @@
     def _choose(self) -> Question | None:
         if not self._uses_advice():
             return None
-        return choose_question(self._board, self._durations, read_clock())
+        return choose_question(self._fleet_state, self._durations, read_clock())
 
     def _uses_advice(self) -> bool:
-        return any(queue.advised for queue in self._board.policy.queues)
+        return any(queue.advised for queue in self._fleet_state.policy.queues)
 
     async def _ask(self, question: Question) -> None:
         asked_at = read_clock()
@@ -74,7 +74,7 @@
             # A worker that is missing in a complete answer counts as refused for good.
             # Here it may be in the unreadable part, so it is asked about again.
             question = replace(question, workers=tuple(allowed))
-        note_answer(question, allowed, asked_at)
+        record_answer(question, allowed, asked_at)
         _log.info(
             "advice_taken",
             job_id=question.unit.job.job_id,
--- a/src/primrosestile/coordination/work/election.py
+++ b/src/primrosestile/coordination/work/election.py
@@ -20,7 +20,7 @@
     read_suspending_clock,
 )
 from primrosestile.decisions.work.owner_health import (
-    SOUND_SECONDS,
+    HEALTHY_TERM_SECONDS,
     find_candidacy_pause,
 )
 from primrosestile.errors import ErrorKind, Failure
@@ -92,7 +92,7 @@
                 await self._serve(term)
 
     async def leave(self) -> None:
-        """Give the ownership up at once, so that another process takes over."""
+        """Hand the ownership over at once, so that another process takes over."""
         self._leaving = True
         term = self.term
         if term is None:
@@ -150,7 +150,7 @@
         try:
             return decode_owner(found.value) == self._record
         except msgspec.MsgspecError:
-            # Another writer's key; it disappears with its lease.
+            # Another writer's key; it is removed when its lease expires.
             return False
 
     def _find_election_delay(self) -> float:
@@ -159,11 +159,11 @@
             return RESIGNED_DELAY_SECONDS
         return self._election_delay
 
-    def _note_end(self, term: Term, began: float) -> None:
+    def _record_end(self, term: Term, began: float) -> None:
         """Start a pause in which this process runs last, if it resigned."""
         now = self._read_clock()
         if not term.resigned:
-            if now - began > SOUND_SECONDS:
+            if now - began > HEALTHY_TERM_SECONDS:
                 self._resignations_in_row = 0
             return
         self.given_up += 1
@@ -213,7 +213,7 @@
             work.cancel()
             await asyncio.wait({work})
             self.term = None
-            self._note_end(term, began)
+            self._record_end(term, began)
             _log.info("ownership_ended", fence=term.fence)
 
     async def _guard_work(self, term: Term) -> None:
--- a/src/primrosestile/coordination/work/end_numbers.py
+++ b/src/primrosestile/coordination/work/end_numbers.py
@@ -1,12 +1,13 @@
 """Decides up to which number the ended runs of a worker may be acknowledged.
 
-A worker lists an end until it is told a number not below that end's. If a faulty number
-were acknowledged that is past the true one, the worker would drop each later end before
-any owner has seen it: a run that ended well would be neither running nor ended, and
-would run again. So a number counts if it follows on the last one, or if several polls
-over some time show it for the same end; two polls in quick succession may show the same
-fault. Numbers after a gap are thus each confirmed by more polls, and so are the first
-numbers of each worker for a new owner, which can't know what was acknowledged before.
+A worker lists an end until a number not below that end's is acknowledged. If a faulty
+number were acknowledged that is past the true one, the worker would drop each later end
+before any owner has seen it: a run that ended well would be neither running nor ended,
+and would run again. So a number counts if it follows on the last one, or if several
+polls over some time show it for the same end; two polls in quick succession may show
+the same fault. Numbers after a gap are thus each confirmed by more polls, and so are
+the first numbers of each worker for a new owner, which can't know what was acknowledged
+before.
 """
 
 from collections.abc import Sequence
@@ -37,7 +38,7 @@
         self._shown: dict[tuple[int, str, int], tuple[float, int]] = {}
 
     def take(self, ended: Sequence[EndedTask], now: float) -> int:
-        """Note the ends that a poll shows; return the last number that counts."""
+        """Record the ends that a poll shows; return the last number that counts."""
         last = self.seen
         self.doubtful = False
         shown = {}
@@ -59,7 +60,7 @@
         return polls >= CONFIRMING_POLLS and now - since >= CONFIRMING_SECONDS
 
     def acknowledge(self, number: int) -> None:
-        """Note that ends up to a number are in the store."""
+        """Record that ends up to a number are in the store."""
         self.seen = max(self.seen, number)
 
 
--- a/src/primrosestile/coordination/work/ended_jobs.py
+++ b/src/primrosestile/coordination/work/ended_jobs.py
@@ -7,10 +7,10 @@
 The age of a record is counted by the owner's own monotonic clock, from when the owner
 wrote or read it. The time of day in the record is for people: another process wrote
 it, on a VM whose clock may be minutes off, or before it knew the time. A record judged
-by that would be removed while callers still ask for its job, and they would be told
+by that would be removed while callers still query its job, and the answer would be
 that there is no such job; `last_record_removed` would show a `kept_for` below the
-promised time. A new owner therefore keeps the records that it finds for the whole time
-again.
+guaranteed time. A new owner therefore keeps the records that it finds for the whole
+time again.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 )
 from primrosestile.state.work import decode_ended
 
-# A record is kept this much longer than a job's state is promised.
+# A record is kept this much longer than a job's state is guaranteed.
 KEEP_MARGIN_SECONDS = 60.0
 # A new owner reads the records of earlier ones this long after its start: they are not
 # urgent, and at the start the link is needed for what is.
--- a/src/primrosestile/coordination/work/health_monitor.py
+++ b/src/primrosestile/coordination/work/health_monitor.py
@@ -19,8 +19,8 @@
 from primrosestile.coordination.work.worker_links import WorkerLink
 from primrosestile.decisions.work.fleet_state import FleetState
 from primrosestile.decisions.work.owner_health import (
-    MOST_SERVE_STEPS,
-    WORKER_SECONDS,
+    MAX_TERM_STEPS,
+    MAX_WORKER_SILENCE_SECONDS,
     OwnerHealth,
     OwnerMetrics,
     OwnerProblem,
@@ -29,7 +29,7 @@
 from primrosestile.protocol.transactions import Condition, TransactionalStore
 from primrosestile.state.work import decode_resignations
 
-# The interval of the measurements: short compared with the ages that are judged.
+# Interval of the measurements: short compared with the ages that are judged.
 CHECK_SECONDS = 0.25
 # The loop's delay is the mean of this many samples, that is over 4 s, after which a
 # single suspension of the VM no longer counts.
@@ -65,12 +65,12 @@
     ) -> None:
         self._store = store
         self._term = term
-        self._board = fleet_state
+        self._fleet_state = fleet_state
         self._requests = requests
         self._recorder = recorder
         self._links = links
         self._calls = calls
-        self._fitness = OwnerHealth()
+        self._owner_health = OwnerHealth()
         self._began = read_clock()
         self._store_failed_at = self._began
         self._delays: deque[float] = deque(maxlen=DELAY_SAMPLES)
@@ -88,9 +88,9 @@
                 now = read_clock()
                 self._delays.append(now - asked_at - CHECK_SECONDS)
                 self.work = work = self._measure(now)
-                trouble = self._fitness.judge(work, now)
-                if trouble is not None:
-                    self._resign(trouble, work)
+                problem = self._owner_health.judge(work, now)
+                if problem is not None:
+                    self._resign(problem, work)
         finally:
             if self._saving is not None:
                 self._saving.cancel()
@@ -99,9 +99,9 @@
         """Read how many owners resigned before; clear it once this one is healthy."""
         while True:
             try:
-                if self._fitness.given_up is None:
+                if self._owner_health.given_up is None:
                     await self._read_record()
-                elif self._fitness.given_up and self._fitness.has_recovered(
+                elif self._owner_health.given_up and self._owner_health.has_recovered(
                     read_clock()
                 ):
                     await self._clear_record()
@@ -113,7 +113,7 @@
         renewed_ago = self._term.find_renewal_age()
         if renewed_ago > UNRENEWED_SECONDS:
             self._store_failed_at = now
-        listed = [each for each in self._board.workers.values() if each.listed]
+        listed = [each for each in self._fleet_state.workers.values() if each.listed]
         calls, unanswered = self._calls.count()
         return OwnerMetrics(
             wishes_age=self._find_requests_age(now),
@@ -143,7 +143,7 @@
     def _is_heard(self, name: str, now: float) -> bool:
         link = self._links.get(name)
         # A worker that was found just now has not been polled yet.
-        return link is None or now - link.heard_at < WORKER_SECONDS
+        return link is None or now - link.heard_at < MAX_WORKER_SILENCE_SECONDS
 
     def _find_records_age(self, now: float) -> float:
         """Return how long the save under way has taken; there is always one.
@@ -157,12 +157,12 @@
             self._saving_since = now
         return now - self._saving_since
 
-    def _resign(self, trouble: OwnerProblem, work: OwnerMetrics) -> None:
+    def _resign(self, problem: OwnerProblem, work: OwnerMetrics) -> None:
         _log.warning(
             "ownership_given_up",
             fence=self._term.fence,
-            trouble=trouble.value,
-            given_up_before=self._fitness.given_up,
+            trouble=problem.value,
+            given_up_before=self._owner_health.given_up,
             wishes_age=round(work.wishes_age, 2),
             records_age=round(work.records_age, 2),
             workers=work.workers,
@@ -178,25 +178,25 @@
     async def _read_record(self) -> None:
         entry = await self._store.get(RESIGNATIONS_KEY)
         if entry is None:
-            self._note_record(0)
+            self._set_resignations(0)
             return
         try:
-            self._note_record(decode_resignations(entry.value))
+            self._set_resignations(decode_resignations(entry.value))
         except msgspec.MsgspecError as error:
             # One bad value must not end each term at its start. It counts as the
             # highest step, and is removed like a good one once the owner is healthy.
             _log.warning("given_up_record_unreadable", error=str(error))
-            self._note_record(MOST_SERVE_STEPS)
+            self._set_resignations(MAX_TERM_STEPS)
 
     async def _clear_record(self) -> None:
         condition = Condition(OWNER_KEY, self._term.fence)
         done = await self._store.commit([condition], removals=[RESIGNATIONS_KEY])
         if done.done:
-            self._note_record(0)
+            self._set_resignations(0)
 
-    def _note_record(self, given_up: int) -> None:
-        self._fitness.given_up = given_up
-        self._term.earlier_resignations = given_up
+    def _set_resignations(self, resignations: int) -> None:
+        self._owner_health.given_up = resignations
+        self._term.earlier_resignations = resignations
 
     def count(self) -> dict[str, float]:
         """Return the current values of the metrics."""
--- a/src/primrosestile/coordination/work/job_submissions.py
+++ b/src/primrosestile/coordination/work/job_submissions.py
@@ -1,6 +1,6 @@
 """Handles callers' submissions, cancellations and state queries.
 
-A job is accepted once it is in the store. A caller is told "not accepted" only if the
+A job is accepted once it is in the store. It is reported as not accepted only if the
 store has refused the write or nothing was sent to it; after a lost answer the record is
 read back, and while that fails the outcome is reported as unknown. A job that is
 submitted again under its id remains one job, even if it has ended meanwhile and only
--- a/src/primrosestile/coordination/work/maintenance.py
+++ b/src/primrosestile/coordination/work/maintenance.py
@@ -63,7 +63,7 @@
     ) -> None:
         self._calls = calls
         self._term = term
-        self._board = fleet_state
+        self._fleet_state = fleet_state
         self._wake = wake
         self._began = read_clock()
         self._records = WaveRecords(store, term)
@@ -122,7 +122,7 @@
         return self._vms.is_missing_since(name, ordered.answered_at)
 
     def _set_closed(self, closed: frozenset[str]) -> None:
-        for worker in self._board.workers.values():
+        for worker in self._fleet_state.workers.values():
             worker.closed = worker.name in closed
 
     async def _load(self, wave: Wave) -> None:
@@ -170,7 +170,7 @@
         await self._repeat_orders(wave, record, vms)
         away = set(record.begun) - set(record.over)
         plan = plan_maintenance(
-            self._board,
+            self._fleet_state,
             wave,
             vms,
             record.begun,
@@ -180,7 +180,7 @@
             self._list_leaving(answered=False),
         )
         for unit in plan.save:
-            self._board.abandon(unit)
+            self._fleet_state.abandon(unit)
         if plan.save:
             self._wake()
         for vm in plan.begin:
@@ -229,7 +229,7 @@
             begun = (wave.number, name) in self._ordered
             if begun or vm is None or vm.state is not VmState.UP:
                 continue
-            if may_go(self._board, vm, self._list_leaving(answered=True)):
+            if may_go(self._fleet_state, vm, self._list_leaving(answered=True)):
                 await self._send(wave, vm)
 
     def _list_leaving(self, answered: bool) -> frozenset[str]:
@@ -295,7 +295,7 @@
         elif answer is MaintenanceAnswer.BEGUN:
             self._ordered[key] = _Ordered(vm.worker, read_clock())
             if known_first:
-                self._board.drop_worker(vm.worker, Proof.VM_ORDERED)
+                self._fleet_state.drop_worker(vm.worker, Proof.VM_ORDERED)
             self._wake()
         elif answer is MaintenanceAnswer.NOT_IN_WAVE:
             record = self._records.find(wave)
--- a/src/primrosestile/coordination/work/orders.py
+++ b/src/primrosestile/coordination/work/orders.py
@@ -27,7 +27,7 @@
     Unit,
     Worker,
 )
-from primrosestile.decisions.work.worker_quarantine import UNHEALTHY_SECONDS
+from primrosestile.decisions.work.worker_quarantine import UNHEALTHY_QUARANTINE_SECONDS
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.fleet import OrderAnswer, Refusal, StartOrder, WorkerCalls
 
@@ -65,7 +65,7 @@
     ) -> None:
         self._calls = calls
         self._term = term
-        self._board = fleet_state
+        self._fleet_state = fleet_state
         self._recorder = recorder
         self._links = links
         self._tasks = tasks
@@ -80,7 +80,7 @@
         now = read_clock()
         for each in assignments:
             workers = [worker.name for worker in each.workers]
-            self._board.order(each.unit, workers, now)
+            self._fleet_state.order(each.unit, workers, now)
             _log.info(
                 "run_decided",
                 **name_unit(each.unit),
@@ -126,9 +126,9 @@
     def _withhold(self, unit: Unit) -> None:
         """Abandon a run of which nothing was sent."""
         _log.info("start_withheld", **name_unit(unit))
-        self._board.abandon(unit)
+        self._fleet_state.abandon(unit)
         for member in unit.members:
-            self._board.note_gone(member, Proof.NEVER_SENT)
+            self._fleet_state.note_gone(member, Proof.NEVER_SENT)
         self._wake()
 
     async def _send_start(self, member: Member) -> None:
@@ -156,12 +156,12 @@
                     reason=str(failure),
                 )
                 continue
-            link.note_answer(answer.clock, sent_at)
+            link.record_order_answer(answer.clock, sent_at)
             self._process_answer(member, link, answer, unanswered)
             return
         if not unanswered:
-            self._board.note_gone(member, Proof.NEVER_SENT)
-        self._board.abandon(member.unit)
+            self._fleet_state.note_gone(member, Proof.NEVER_SENT)
+        self._fleet_state.abandon(member.unit)
         self._wake()
 
     def _make_order(self, member: Member, link: WorkerLink) -> StartOrder:
@@ -185,13 +185,13 @@
                 fence=self._term.fence,
                 worker_clock=round(answer.clock, 3),
             )
-            self._board.note_up(member, read_clock())
+            self._fleet_state.note_up(member, read_clock())
             self._recorder.request_round()
             return
         self._note_refusal(member, link.worker, answer.refusal)
         if not unanswered:
-            self._board.note_gone(member, Proof.REFUSED)
-        self._board.abandon(member.unit)
+            self._fleet_state.note_gone(member, Proof.REFUSED)
+        self._fleet_state.abandon(member.unit)
         self._wake()
 
     def _note_refusal(self, member: Member, worker: Worker, refusal: Refusal) -> None:
@@ -207,7 +207,7 @@
             member.unit.permits.expire(worker.name)
         elif refusal is Refusal.UNHEALTHY:
             worker.quarantined_until = max(
-                worker.quarantined_until, now + UNHEALTHY_SECONDS
+                worker.quarantined_until, now + UNHEALTHY_QUARANTINE_SECONDS
             )
         elif refusal is Refusal.ROOM:
             worker.quarantined_until = max(
@@ -242,7 +242,7 @@
             _log.info("pace_unanswered", task=member.task, reason=str(failure))
             member.pace = was
             return
-        link.note_answer(answer.clock, sent_at)
+        link.record_order_answer(answer.clock, sent_at)
         _log.info(
             "run_paced",
             **name_member(member),
@@ -254,7 +254,7 @@
 
     def stop_abandoned(self) -> None:
         """Begin to stop every run that is abandoned or orphaned."""
-        for member in list(self._board.list_stopping()):
+        for member in list(self._fleet_state.list_stopping()):
             key = (member.task, member.run)
             if key not in self._stopping:
                 self._stopping.add(key)
@@ -274,7 +274,7 @@
                     continue
                 # RUN_BARRED_BEFORE_NEXT, STOP_END_AWAITED.
                 if await self._send_stop(link, member.task, member.run):
-                    link.note_stopped(member)
+                    link.record_stop_answer(member)
                     await link.poll_now()
                     await self._wait_until_gone(member)
                 else:
@@ -299,7 +299,7 @@
         except Failure as failure:
             _log.info("stop_unanswered", task=task, run=run, reason=str(failure))
             return False
-        link.note_answer(answer.clock, sent_at)
+        link.record_order_answer(answer.clock, sent_at)
         if answer.refusal is Refusal.FENCE:
             self._term.lost.set()
             return False
--- a/src/primrosestile/coordination/work/pending_counts.py
+++ b/src/primrosestile/coordination/work/pending_counts.py
@@ -13,7 +13,7 @@
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import TransactionalStore, list_entries
 
-# Callers are promised a number that is at most 2 s old.
+# The number must be at most 2 s old when a caller gets it.
 SHARED_SECONDS = 1.0
 
 
--- a/src/primrosestile/coordination/work/recorder.py
+++ b/src/primrosestile/coordination/work/recorder.py
@@ -10,7 +10,7 @@
 nothing of it can run any more, one change removes the job, its cancellation and its
 progress, and writes a small record under another prefix. So a new owner reads only open
 jobs at its start. With ended jobs among them, a VM with a slow link could not read them
-all before its lease is over, and nobody would schedule. That change, and the first
+all before its lease is over, and nothing would be scheduled. That change, and the first
 record of a job, have the job's own key as a condition: a write that arrives after the
 job's keys have been removed would otherwise find no record, as it expects, and create
 one again.
@@ -103,7 +103,7 @@
     ) -> None:
         self._store = store
         self._term = term
-        self._board = fleet_state
+        self._fleet_state = fleet_state
         self._ended = ended
         # The revisions of the jobs, and of their progress where there is any.
         self._jobs: dict[str, int] = {}
@@ -136,7 +136,7 @@
 
     def request_round(self) -> None:
         """Request a round if a job has changed."""
-        if self._board.changed:
+        if self._fleet_state.changed:
             self._wanted.set()
 
     def request_last_records(self) -> None:
@@ -145,8 +145,8 @@
         The last member of a gang, or of a job that a former owner ended, may end
         without a change of the record.
         """
-        over = [job for job in self._board.jobs.values() if _is_over(job)]
-        self._board.changed.update(over)
+        over = [job for job in self._fleet_state.jobs.values() if _is_over(job)]
+        self._fleet_state.changed.update(over)
         self.request_round()
 
     async def save(self) -> None:
@@ -163,7 +163,7 @@
             await self._wanted.wait()
             self._wanted.clear()
             done, self._round = self._round, None
-            jobs = sorted(self._board.take_changed(), key=lambda job: job.job_id)
+            jobs = sorted(self._fleet_state.take_changed(), key=lambda job: job.job_id)
             self._writing_since = read_clock()
             await self._write_round(jobs)
             self._writing_since = None
@@ -256,7 +256,7 @@
             how=how,
         )
         self._ended.note(job.job_id)
-        self._board.jobs.pop(job.job_id, None)
+        self._fleet_state.jobs.pop(job.job_id, None)
         self._jobs.pop(job.job_id, None)
         self._revisions.pop(job.job_id, None)
         self._waiting.discard(job.job_id)
--- a/src/primrosestile/coordination/work/request_watch.py
+++ b/src/primrosestile/coordination/work/request_watch.py
@@ -81,11 +81,11 @@
     ) -> None:
         self._store = store
         self._reader = PrefixReader(store)
-        self._board = fleet_state
+        self._fleet_state = fleet_state
         self._recorder = recorder
         self._ended = ended
         self._wake = wake
-        # Up to which revision the watch has reported, and when that was asked for.
+        # Up to which revision the watch has reported, and when that was requested.
         self._revision = 0
         self._revision_at = 0.0
         self._failures = 0
@@ -140,7 +140,7 @@
         self._known_at = cancels_asked_at
         _log.info(
             "jobs_loaded",
-            jobs=len(self._board.jobs),
+            jobs=len(self._fleet_state.jobs),
             records=len(progresses),
             unreadable=self.unreadable,
             seconds=round(read_clock() - asked_at, 3),
@@ -194,7 +194,7 @@
     def _admit(
         self, entry: Entry, job_id: str, progress: Progress | None, since: float
     ) -> None:
-        if job_id in self._board.jobs or job_id in self._ended:
+        if job_id in self._fleet_state.jobs or job_id in self._ended:
             return
         if PROGRESS_PREFIX + job_id in self._unreadable:
             # Admitted as not started, its tasks would run a second time.
@@ -213,7 +213,7 @@
             )
             return
         age = _find_age(submission.accepted_at, since)
-        job = self._board.admit(submission, progress, read_clock(), age)
+        job = self._fleet_state.admit(submission, progress, read_clock(), age)
         self._recorder.note_job(job, entry.mod_revision)
         if progress is None:
             _log.info(
@@ -230,7 +230,7 @@
             self._cancel(job_id)
 
     def _cancel(self, job_id: str) -> None:
-        job = self._board.jobs.get(job_id)
+        job = self._fleet_state.jobs.get(job_id)
         if job is None:
             if job_id not in self._ended:
                 self._early_cancels.add(job_id)
@@ -239,7 +239,7 @@
         if job.state.final:
             return
         _log.info("job_cancelled", job_id=job_id)
-        self._board.finish(job, JobState.CANCELLED)
+        self._fleet_state.finish(job, JobState.CANCELLED)
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
--- a/src/primrosestile/coordination/work/scheduler.py
+++ b/src/primrosestile/coordination/work/scheduler.py
@@ -25,7 +25,7 @@
 from primrosestile.coordination.work.scheduler_log import (
     log_crashes,
     log_gone,
-    log_rescue,
+    log_stall_restart,
     log_stop,
     log_workers_answered,
     log_workers_found,
@@ -46,7 +46,7 @@
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Job, Member, Proof, Worker
 from primrosestile.decisions.work.worker_quarantine import (
-    AT_ONCE_SECONDS,
+    EARLY_FAILURE_SECONDS,
     WorkerQuarantine,
 )
 from primrosestile.errors import Failure
@@ -56,8 +56,8 @@
 from primrosestile.protocol.transactions import TransactionalStore
 from primrosestile.state.workers import EndKind, WorkerEntry
 
-# The longest time without a pass: some changes come with time and without an event,
-# such as the end of a locality wait.
+# The longest time without a pass: some changes, such as the end of a locality wait,
+# come without an event.
 MAX_PASS_INTERVAL_SECONDS = 0.25
 # Events within this time, such as the ends of a gang, share one pass.
 BATCH_SECONDS = 0.004
@@ -65,7 +65,7 @@
 # small VM's processor is left for workers' leases and callers: with a hundred workers
 # and more, a pass at each event would take all of it.
 PASS_PAUSE_FACTOR = 3.0
-LONGEST_PAUSE_SECONDS = 0.2
+MAX_PAUSE_SECONDS = 0.2
 # How long a worker that never answered this owner may still run what an earlier owner
 # started: that owner's grace after its own lease, then the worker's lease.
 NEVER_ANSWERED_SECONDS = LEASE_GRACE_SECONDS + LEASE_SECONDS / SLOW_CLOCK_FACTOR + 1.0
@@ -99,34 +99,36 @@
         self._max_lease_seconds = max_lease_seconds
         policy = policies.policy
         assert policy is not None, "a term begins after the first policy is read"
-        self._board = FleetState(policy, read_wall_clock())
-        self._trust = WorkerQuarantine()
+        self._fleet_state = FleetState(policy, read_wall_clock())
+        self._quarantine = WorkerQuarantine()
         self._durations = Durations()
         self._speeds = Speeds()
         self._statistics = StatisticsStore(store, term, self._durations, self._speeds)
         self._ended = EndedJobs(store, term, status_retention_seconds)
-        self._recorder = Recorder(store, term, self._board, self._ended)
+        self._recorder = Recorder(store, term, self._fleet_state, self._ended)
         self._pass_wanted = asyncio.Event()
         self._links: dict[str, WorkerLink] = {}
         # Set once the first links are started; workers that come later add theirs.
         self._tasks: asyncio.TaskGroup | None = None
         self._requests = RequestWatch(
-            store, self._board, self._recorder, self._ended, self._wake
+            store, self._fleet_state, self._recorder, self._ended, self._wake
         )
         self._discovery = WorkerDiscovery(
-            workers, self._board, self._add_worker, self._wake
+            workers, self._fleet_state, self._add_worker, self._wake
         )
         self._maintenance = MaintenanceRunner(
-            upkeep, store, term, self._board, self._wake
+            upkeep, store, term, self._fleet_state, self._wake
+        )
+        self._advisor = Advisor(
+            advice, self._fleet_state, self._durations, term, self._wake
         )
-        self._advisor = Advisor(advice, self._board, self._durations, term, self._wake)
         self._lease_extender = LeaseExtender(
             self._calls, workers, term, max_lease_seconds
         )
         self._health = HealthMonitor(
             store,
             term,
-            self._board,
+            self._fleet_state,
             self._requests,
             self._recorder,
             self._links,
@@ -138,11 +140,11 @@
     @property
     def fleet_state(self) -> FleetState:
         """The fleet state that this owner knows."""
-        return self._board
+        return self._fleet_state
 
     def count(self) -> dict[str, float]:
         """Return the current values of the metrics."""
-        return {**self._board.count(), **self._health.count()}
+        return {**self._fleet_state.count(), **self._health.count()}
 
     def _wake(self) -> None:
         self._pass_wanted.set()
@@ -158,19 +160,19 @@
             await self._load()
             extending.cancel()
             self._health.loaded = True
-            log_workers_found(self._board.workers.values())
+            log_workers_found(self._fleet_state.workers.values())
             self._tasks = tasks
             orders = Orders(
                 self._calls,
                 self._term,
-                self._board,
+                self._fleet_state,
                 self._recorder,
                 self._links,
                 tasks,
                 self._wake,
                 lambda: self._discovery.recent,
             )
-            for worker in self._board.workers.values():
+            for worker in self._fleet_state.workers.values():
                 self._start_link(worker.name, tasks)
             tasks.create_task(self._recorder.run())
             tasks.create_task(self._requests.run())
@@ -180,7 +182,7 @@
             tasks.create_task(self._clean_up())
             tasks.create_task(self._report_contact())
             tasks.create_task(
-                reconcile_waiting_keys(self._store, self._term, self._board)
+                reconcile_waiting_keys(self._store, self._term, self._fleet_state)
             )
             await self._run_passes(tasks, orders)
             raise _TermOver
@@ -197,18 +199,20 @@
                 _log.warning("recovery_delayed", reason=str(failure))
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
-            self._board.wall = read_wall_clock()
+            self._fleet_state.wall = read_wall_clock()
             return
 
     def _add_unlisted(self) -> None:
         """Add workers that only records name: they are polled but get no work."""
-        for entry in self._board.list_unlisted_workers():
+        for entry in self._fleet_state.list_unlisted_workers():
             self._add_worker(entry)
-            self._board.workers[entry.worker].listed = False
+            self._fleet_state.workers[entry.worker].listed = False
 
     def _add_worker(self, entry: WorkerEntry) -> None:
-        self._board.crashes.record_entry(entry.address, entry.worker, read_clock())
-        self._board.add_worker(entry)
+        self._fleet_state.crashes.record_entry(
+            entry.address, entry.worker, read_clock()
+        )
+        self._fleet_state.add_worker(entry)
         if self._tasks is None:
             return
         _log.info(
@@ -222,10 +226,10 @@
 
     def _start_link(self, name: str, tasks: asyncio.TaskGroup) -> None:
         link = WorkerLink(
-            self._board.workers[name],
+            self._fleet_state.workers[name],
             self._calls,
             self._term,
-            self._board,
+            self._fleet_state,
             self._recorder,
             self._wake,
             self._note_end,
@@ -248,23 +252,23 @@
     def _note_end(self, member: Member, kind: EndKind) -> None:
         """Update the worker's quarantine and the statistics with the end of a run."""
         if kind is EndKind.DONE:
-            self._trust.note_done(member.worker)
+            self._quarantine.note_done(member.worker)
             self._record_duration(member)
         if kind is not EndKind.FAILED:
             return
-        worker = self._board.workers.get(member.worker)
+        worker = self._fleet_state.workers.get(member.worker)
         seconds = read_clock() - (member.up_at or member.since)
         # A daemon task may fail at any time; only an early failure counts against its
         # worker.
-        expected = member.unit.step.daemon and seconds > AT_ONCE_SECONDS
+        expected = member.unit.step.daemon and seconds > EARLY_FAILURE_SECONDS
         if worker is None or expected:
             return
-        until = self._trust.note_failed(
+        until = self._quarantine.note_failed(
             member.worker,
             member.unit.job.job_id,
             seconds,
             read_clock(),
-            len(self._board.workers),
+            len(self._fleet_state.workers),
         )
         if until > worker.quarantined_until:
             worker.quarantined_until = until
@@ -284,10 +288,10 @@
     async def _run_passes(self, tasks: asyncio.TaskGroup, orders: Orders) -> None:
         while not self._term.lost.is_set():
             await self._wait()
-            self._board.wall = read_wall_clock()
+            self._fleet_state.wall = read_wall_clock()
             policy = self._policies.policy
-            if policy is not None and policy is not self._board.policy:
-                self._board.take_policy(policy)
+            if policy is not None and policy is not self._fleet_state.policy:
+                self._fleet_state.take_policy(policy)
             self._open_due()
             self._drop_never_answered()
             self._log_gone()
@@ -305,24 +309,26 @@
                 await self._pass_wanted.wait()
         except TimeoutError:
             return
-        pause = min(LONGEST_PAUSE_SECONDS, PASS_PAUSE_FACTOR * self._pass_seconds)
+        pause = min(MAX_PAUSE_SECONDS, PASS_PAUSE_FACTOR * self._pass_seconds)
         await asyncio.sleep(max(BATCH_SECONDS, pause))
         self._pass_wanted.clear()
 
     def _run_pass(self, orders: Orders) -> None:
         now = read_clock()
-        for unit in find_evacuations(self._board, self._durations, now):
-            self._board.abandon(unit)
+        for unit in find_evacuations(self._fleet_state, self._durations, now):
+            self._fleet_state.abandon(unit)
             _log.info("run_evacuated", **name_unit(unit))
         if self._may_decide():
-            plan = make_plan(self._board, self._durations, self._speeds, read_clock())
+            plan = make_plan(
+                self._fleet_state, self._durations, self._speeds, read_clock()
+            )
             for stop in plan.stops:
                 log_stop(stop)
-            for rescue in plan.stall_restarts:
-                log_rescue(rescue)
-                self._quarantine_worker(rescue.worker, now)
+            for restart in plan.stall_restarts:
+                log_stall_restart(restart)
+                self._quarantine_worker(restart.worker, now)
             orders.start(plan.starts)
-        orders.pace(find_paces(self._board, now))
+        orders.pace(find_paces(self._fleet_state, now))
         orders.stop_abandoned()
 
     def _may_decide(self) -> bool:
@@ -339,43 +345,47 @@
 
     def _quarantine_worker(self, worker: Worker, now: float) -> None:
         """Quarantine a worker on which a task is stalled."""
-        until = self._trust.note_stalled(worker.name, now, len(self._board.workers))
+        until = self._quarantine.note_stalled(
+            worker.name, now, len(self._fleet_state.workers)
+        )
         worker.quarantined_until = max(worker.quarantined_until, until)
 
     def _open_due(self) -> None:
         """Open the occurrences of repeating jobs that are due."""
-        for job in self._board.jobs.values():
+        for job in self._fleet_state.jobs.values():
             if job.state.final:
                 continue
             while job.occurrences < job.occurrence_count and self._is_due(job):
-                self._board.open_occurrence(job, job.occurrences)
+                self._fleet_state.open_occurrence(job, job.occurrences)
 
     def _is_due(self, job: Job) -> bool:
         repeats = job.submission.repeats
         if not repeats.count:
             return True
         due = repeats.first_at + job.occurrences * repeats.interval
-        return self._board.wall >= due
+        return self._fleet_state.wall >= due
 
     def _drop_never_answered(self) -> None:
         """Mark runs as gone on workers that have never answered this owner."""
         if read_clock() - self._began < NEVER_ANSWERED_SECONDS:
             return
-        for name in list(self._board.unlisted_members):
+        for name in list(self._fleet_state.unlisted_members):
             _log.warning("runs_given_up", worker=name)
-            self._board.drop_worker(name, Proof.UNHEARD)
+            self._fleet_state.drop_worker(name, Proof.NEVER_ANSWERED)
         for name, link in self._links.items():
             if not link.clock.known and link.worker.members:
                 _log.warning("runs_given_up", worker=name)
-                self._board.clear_worker(link.worker, Proof.UNHEARD, read_clock())
+                self._fleet_state.clear_worker(
+                    link.worker, Proof.NEVER_ANSWERED, read_clock()
+                )
 
     def _log_gone(self) -> None:
-        log_gone(self._board.take_gone(), self._links, self._term.fence)
-        log_crashes(self._board.crashes.pop_found())
+        log_gone(self._fleet_state.take_gone(), self._links, self._term.fence)
+        log_crashes(self._fleet_state.crashes.pop_found())
 
     async def _report_contact(self) -> None:
         await asyncio.sleep(FIRST_CONTACT_SECONDS)
-        log_workers_answered(self._board.workers.values())
+        log_workers_answered(self._fleet_state.workers.values())
 
     async def _clean_up(self) -> None:
         """Remove from the store what is neither open nor may be asked for."""
--- a/src/primrosestile/coordination/work/scheduler_log.py
+++ b/src/primrosestile/coordination/work/scheduler_log.py
@@ -89,13 +89,13 @@
     )
 
 
-def log_rescue(rescue: StallRestart) -> None:
+def log_stall_restart(restart: StallRestart) -> None:
     """Log which run is stopped because a member is stalled, and on which worker."""
-    unit = rescue.unit
+    unit = restart.unit
     _log.info(
         "run_rescued",
         **name_unit(unit),
         size=unit.size,
-        worker=rescue.worker.name,
-        lost=round(rescue.lost, 2),
+        worker=restart.worker.name,
+        lost=round(restart.lost, 2),
     )
--- a/src/primrosestile/coordination/work/term.py
+++ b/src/primrosestile/coordination/work/term.py
@@ -1,9 +1,9 @@
 """One process's ownership: its fence, and until when it may give orders.
 
 The lease is counted from the moment before a renewal was sent, on a clock that includes
-suspension: an owner that was paused past its lease must notice before its next order,
-since another process may schedule by then. Orders under an old fence do nothing on a
-worker that has seen the newer one, but a worker may not have seen it yet.
+suspension: an owner that was paused past its lease must detect that before its next
+order, since another process may schedule by then. Orders under an old fence do nothing
+on a worker that has seen the newer one, but a worker may not have seen it yet.
 """
 
 import asyncio
@@ -64,8 +64,8 @@
     def may_extend_leases(self, seconds: float) -> bool:
         """Whether leases of workers may be extended, some seconds past the term's end.
 
-        The bound matters to the next owner: it gives up a worker that does not answer
-        once no earlier owner can have extended its lease any more.
+        The bound matters to the next owner: it counts the runs on a worker that does
+        not answer as gone once no earlier owner can have extended its lease any more.
         """
         return not self.lost.is_set() and self.read_clock() < self.valid_until + seconds
 
@@ -85,7 +85,7 @@
         self.lost.set()
 
     def extend(self, asked_at: float) -> None:
-        """Note that a renewal that was sent at a time was answered."""
+        """Record that a renewal that was sent at a time was answered."""
         self.renewal_failed = False
         # Answers overtake one another.
         self.valid_until = max(self.valid_until, find_lease_end(asked_at))
--- a/src/primrosestile/coordination/work/vm_list.py
+++ b/src/primrosestile/coordination/work/vm_list.py
@@ -27,9 +27,10 @@
         """Read the VMs, and note which of the wanted ones are missing.
 
         One that is missing for long is returned as up, so that its maintenance is
-        ordered in its turn: it may exist, and if not, the platform says so. Absence
-        from the list proves nothing: with a list that is empty for some seconds, the
-        wave would be reported as completed while none of its VMs had begun.
+        ordered in its turn: it may exist, and if not, the platform answers that.
+        Absence from the list proves nothing: with a list that is empty for some
+        seconds, the wave would be reported as completed while none of its VMs had
+        begun.
         """
         asked_at = read_clock()
         vms = {vm.name: vm for vm in await self._calls.list_vms()}
--- a/src/primrosestile/coordination/work/waiting_keys.py
+++ b/src/primrosestile/coordination/work/waiting_keys.py
@@ -35,11 +35,11 @@
     """Write missing keys and remove obsolete ones."""
     try:
         entries, _ = await list_entries(store, WAITING_PREFIX)
-        standing = {entry.key.removeprefix(WAITING_PREFIX) for entry in entries}
+        present = {entry.key.removeprefix(WAITING_PREFIX) for entry in entries}
         for job in list(fleet_state.jobs.values()):
-            if job.state is JobState.QUEUED and job.job_id not in standing:
+            if job.state is JobState.QUEUED and job.job_id not in present:
                 await _add(store, term, job)
-        for job_id in standing:
+        for job_id in present:
             await _remove_left_over(store, term, fleet_state, job_id)
     except Failure as failure:
         # Only a count stays wrong, and the next owner tries again.
--- a/src/primrosestile/coordination/work/worker_clock.py
+++ b/src/primrosestile/coordination/work/worker_clock.py
@@ -142,7 +142,7 @@
             )
 
     def _replace_bounds(self, bounds: _ClockBounds) -> None:
-        """Rely on readings that agree with one another.
+        """Replace the bounds by those of readings that agree with one another.
 
         Until it answered our fence, a worker obeyed earlier owners, whose extensions
         we don't know: its lease may last the longest duration from then on. If only our
@@ -160,7 +160,7 @@
         self._bounds = bounds
         self._candidate = None
         # The longest is at least the length that owners request, even if the platform's
-        # is shorter: one call of this term may still be on its way.
+        # is shorter: one call of this term may still be in flight.
         self.until = bounds.latest.worker_time + self._max_lease_seconds
 
     def estimate(self, now: float) -> float:
--- a/src/primrosestile/coordination/work/worker_discovery.py
+++ b/src/primrosestile/coordination/work/worker_discovery.py
@@ -3,8 +3,8 @@
 The list says at which addresses workers may be polled, and what they offer. It never
 proves that an incarnation of a worker is over: the entry of an ended incarnation stays
 for seconds beside that of the next one at its address, and either may come first. Runs
-on a worker go on until the worker's own answers, or the end of its lease, say
-otherwise; `worker_links` handles those (LIFE_ENDS_BY_OWN_WORD).
+on a worker count as running until the worker's own answers, or the end of its lease,
+show otherwise; `worker_links` handles those (LIFE_ENDS_BY_OWN_WORD).
 """
 
 import asyncio
@@ -41,7 +41,7 @@
         wake: Callable[[], None],
     ) -> None:
         self._workers = workers
-        self._board = fleet_state
+        self._fleet_state = fleet_state
         self._add_new = add_new
         self._wake = wake
         self._read_at = -STALE_SECONDS
@@ -78,7 +78,9 @@
         changed = False
         for entry in own:
             changed |= self._take_entry(entry)
-        self._board.forget_ended({entry.worker for entry in entries} | found.refused)
+        self._fleet_state.forget_ended(
+            {entry.worker for entry in entries} | found.refused
+        )
         self._unlist_refused(found.refused)
         self._note_missing({entry.worker for entry in own})
         changed |= self._take_cordons(found.cordoned)
@@ -91,7 +93,7 @@
         What runs there goes on. New work would be on workers that operators are about
         to remove or change.
         """
-        for worker in self._board.workers.values():
+        for worker in self._fleet_state.workers.values():
             worker.cordoned = worker.entry.failure_domain in cordoned
         if cordoned == self._cordoned:
             return False
@@ -107,7 +109,7 @@
         some other worker, and this one would lose its lease and all its runs. Such an
         entry is ignored, so the worker counts as unlisted until its entry is correct.
         """
-        known = self._board.find_verified_address(entry.worker)
+        known = self._fleet_state.find_verified_address(entry.worker)
         if known is None:
             return True
         if entry.address == known:
@@ -124,9 +126,9 @@
         return False
 
     def _take_entry(self, entry: WorkerEntry) -> bool:
-        if self._board.has_ended(entry):
+        if self._fleet_state.has_ended(entry):
             return False
-        worker = self._board.workers.get(entry.worker)
+        worker = self._fleet_state.workers.get(entry.worker)
         if worker is None:
             self._add_new(entry)
             return True
@@ -151,7 +153,7 @@
         goes on: the worker's link still polls it, as when the entry is missing.
         """
         for name in refused:
-            worker = self._board.workers.get(name)
+            worker = self._fleet_state.workers.get(name)
             if worker is not None and worker.listed:
                 worker.listed = False
                 _log.info("worker_unlisted", worker=name)
@@ -161,7 +163,7 @@
         for name in list(self._missing_since):
             if name in present:
                 del self._missing_since[name]
-        for worker in self._board.workers.values():
+        for worker in self._fleet_state.workers.values():
             if worker.name in present:
                 continue
             since = self._missing_since.setdefault(worker.name, now)
--- a/src/primrosestile/coordination/work/worker_links.py
+++ b/src/primrosestile/coordination/work/worker_links.py
@@ -74,7 +74,7 @@
         self.clock = WorkerClock(worker.name, max_lease_seconds)
         self._calls = calls
         self._term = term
-        self._board = fleet_state
+        self._fleet_state = fleet_state
         self._recorder = recorder
         self._wake = wake
         self._note_end = note_end
@@ -113,18 +113,18 @@
         return self._answered_at
 
     def find_lease_end(self) -> float:
-        """Return the end of the lease to ask for, on the worker's clock."""
+        """Return the end of the lease to request, on the worker's clock."""
         return self.clock.extend(read_clock())
 
-    def note_answer(self, clock: float, sent_at: float) -> None:
+    def record_order_answer(self, clock: float, sent_at: float) -> None:
         """Record an answer to an order, and the worker's clock in it."""
         now = read_clock()
         self.worker.record_answer(now)
         if clock:
             self.clock.note(ClockReading(clock, sent_at, now))
 
-    def note_stopped(self, member: Member) -> None:
-        """Note that the worker has answered a stop.
+    def record_stop_answer(self, member: Member) -> None:
+        """Record that the worker has answered a stop.
 
         The time of the first answer is kept, which blocks the run for good. With the
         time of the latest one, a stop that is repeated each second would always be
@@ -169,7 +169,7 @@
                 await asyncio.sleep(RETRY_SECONDS)
 
     def _is_needed(self) -> bool:
-        return self._board.workers.get(self.worker.name) is self.worker
+        return self._fleet_state.workers.get(self.worker.name) is self.worker
 
     def _may_extend_leases(self) -> bool:
         return self._term.may_extend_leases(LEASE_GRACE_SECONDS)
@@ -199,7 +199,7 @@
             return
         self._answered_at = read_clock()
         self.worker.record_answer(self._answered_at)
-        self._board.crashes.record_answer(
+        self._fleet_state.crashes.record_answer(
             entry.address, self.worker.name, self._answered_at
         )
         self.clock.note(ClockReading(answer.clock, sent_at, self._answered_at))
@@ -238,7 +238,7 @@
             members=len(worker.members),
             tasks=list_names(each.task for each in worker.members.values()),
         )
-        self._board.drop_worker(worker.name, Proof.LIFE_OVER)
+        self._fleet_state.drop_worker(worker.name, Proof.LIFE_OVER)
         self._wake()
 
     async def _process_poll(self, poll: PollAnswer, sent_at: float) -> None:
@@ -288,12 +288,12 @@
         now = read_clock()
         orphaned = 0
         for row in running:
-            member = self._board.find_member(row.task, row.run)
+            member = self._fleet_state.find_member(row.task, row.run)
             if member is None or member.state is MemberState.GONE:
                 self._orphans[row.task, row.run] = now
                 orphaned += 1
                 continue
-            self._board.note_up(member, now)
+            self._fleet_state.note_up(member, now)
             member.heard_at = now
             if row.percent > member.percent:
                 member.percent = row.percent
@@ -305,7 +305,7 @@
         self.worker.orphaned_runs = orphaned
 
     def _process_end(self, ended: EndedTask) -> None:
-        member = self._board.find_member(ended.task, ended.run)
+        member = self._fleet_state.find_member(ended.task, ended.run)
         if member is None or member.state is MemberState.GONE:
             return
         _log.info(
@@ -318,7 +318,7 @@
         )
         if member.unit.phase is Phase.ORDERED:
             self._note_end(member, ended.kind)
-        self._board.note_end(ended.task, ended.run, ended.kind, ended.checkpoint)
+        self._fleet_state.note_end(ended.task, ended.run, ended.kind, ended.checkpoint)
         self._stopped.pop((ended.task, ended.run), None)
 
     def _process_absent(self, poll: PollAnswer, sent_at: float) -> None:
@@ -331,20 +331,20 @@
             self._stopped.pop(key)
             member = self.worker.members.get(key)
             if member is not None:
-                self._board.note_gone(member, Proof.BARRED)
+                self._fleet_state.note_gone(member, Proof.BARRED)
         for key, member in list(self.worker.members.items()):
             if key in present:
                 continue
             if member.state is not MemberState.UP:
                 # Its order had a lower fence than this poll: it would be refused now.
                 if member.restored:
-                    self._board.note_gone(member, Proof.FENCED_OFF)
+                    self._fleet_state.note_gone(member, Proof.FENCED_OFF)
                 continue
             if member.unit.phase is Phase.DONE:
                 # Another member has reported that the gang ended well.
-                self._board.note_gone(member, Proof.GANG_ENDED)
+                self._fleet_state.note_gone(member, Proof.GANG_ENDED)
             elif member.up_at < sent_at and key not in self._stopped:
-                self._board.abandon(member.unit)
+                self._fleet_state.abandon(member.unit)
 
     def _note_silence(self, failure: Failure) -> None:
         """Mark the worker's runs as gone once its lease has certainly expired.
@@ -360,11 +360,11 @@
             self.record_silence(failure)
         if not worker.members:
             if not worker.listed:
-                self._board.drop_worker(worker.name, Proof.LEASE_OVER)
+                self._fleet_state.drop_worker(worker.name, Proof.LEASE_OVER)
             return
         if self.clock.is_lease_over(now):
             _log.warning(
                 "worker_lease_over", worker=worker.name, members=len(worker.members)
             )
-            self._board.clear_worker(worker, Proof.LEASE_OVER, now, refuses)
+            self._fleet_state.clear_worker(worker, Proof.LEASE_OVER, now, refuses)
             self._wake()
--- a/src/primrosestile/decisions/work/__init__.py
+++ b/src/primrosestile/decisions/work/__init__.py
@@ -19,6 +19,6 @@
 
 - `evacuation`: what is moved off a worker that leaves.
 - `worker_quarantine`: which workers get no new work for a while.
-- `paces`, `advice`, `maintenance`: filling work, the advice service, maintenance waves.
+- `paces`, `advice`, `maintenance`: best-effort work, the advice service, waves.
 - `owner_health`, `election_delay`: which process may own the fleet.
 """
--- a/src/primrosestile/decisions/work/advice.py
+++ b/src/primrosestile/decisions/work/advice.py
@@ -1,9 +1,9 @@
 """Chooses the next question for the advice service.
 
-Load: queues whose steps may run on some workers only, which only a slow service
-knows: it answers one question at a time, and takes longer for each worker named.
+Load: queues whose steps may run only on some workers. Which ones, only a slow service
+knows; it answers one question at a time, and takes longer for each worker named.
 Harm: with questions about the whole fleet for each step, urgent steps wait behind the
-questions of others; with too few workers named, a gang never finds enough of them.
+questions of others; with too few workers named, a gang never gets enough of them.
 So the most urgent step is asked about first, with a few workers for each waiting task,
 those with the most room first. Answers are kept: the allowed workers of a step do not
 change, only its tickets expire.
@@ -110,7 +110,7 @@
     return advised.decide_seconds + count * advised.per_worker_seconds
 
 
-def note_answer(question: Question, allowed: dict[str, str], asked_at: float) -> None:
+def record_answer(question: Question, allowed: dict[str, str], asked_at: float) -> None:
     """Store an answer in its step's permits.
 
     Args:
--- a/src/primrosestile/decisions/work/crashes.py
+++ b/src/primrosestile/decisions/work/crashes.py
@@ -2,8 +2,8 @@
 
 Load: a task that crashes each worker on which it starts, beside innocent tasks, on a
 fleet whose workers also crash by themselves. Harm: restarted without bound, such a task
-crashes one worker after another, with all that runs there; given up too soon, a job
-that could succeed is failed.
+crashes one worker after another, with all that runs there; if it is given up too soon,
+a job that could succeed fails.
 
 A crash is counted for each task that was on the worker. To tell the tasks apart: one
 that was alone there and had only just started is the cause, unless the worker crashed
@@ -19,19 +19,19 @@
 
 # From the start of a run to the first call that its worker left unanswered. One call to
 # each worker is always pending, and fails as soon as the worker crashes.
-AT_ONCE_SECONDS = 0.5
+CRASH_AT_START_SECONDS = 0.5
 # Crashes right after a start of the task alone on its worker: two are proof enough.
 ALONE_LIMIT = 2
 # With this many crashes in all, the last one right after a start of the task alone, the
 # task is given up.
 TRIAL_LIMIT = 3
 # With this many crashes the task is given up whatever else ran there. Operators allow
-# two starts after the third crash; one is left for a crash that no owner could see.
+# two starts after the third crash; one is left for a crash that no owner detected.
 CRASH_LIMIT = 4
 # From this many crashes on, a task is tried on a worker of its own.
 ISOLATION_COUNT = 2
-# How long it waits for one. Operators promise that nothing waits for 3 s while there is
-# room for it, and on a busy fleet no worker may ever be empty.
+# How long it waits for one. Operators guarantee that nothing waits for 3 s while there
+# is room for it, and on a busy fleet no worker may ever be empty.
 ISOLATION_SECONDS = 2.0
 # How long nothing else is started on the worker of an isolated task.
 TRIAL_SECONDS = 3.0
@@ -187,7 +187,7 @@
     """
     if worker.unanswered_at is None or (member.restored and not member.up_at):
         return False
-    return 0 <= worker.unanswered_at - member.since < AT_ONCE_SECONDS
+    return 0 <= worker.unanswered_at - member.since < CRASH_AT_START_SECONDS
 
 
 def _is_given_up(count: CrashCount, alone: bool) -> bool:
--- a/src/primrosestile/decisions/work/durations.py
+++ b/src/primrosestile/decisions/work/durations.py
@@ -3,7 +3,7 @@
 Load: callers whose estimates are off by up to nine tenths. Harm: the slack of a
 job, the time at which a worker becomes free, and what can be backfilled until then
 all depend on run times; with wrong ones, urgent jobs are taken for late and room is
-reserved for nothing. So for each queue the errors of the caller's estimate and of
+reserved without need. So for each queue the errors of the caller's estimate and of
 the mean observed run time are tracked, and the better one is used.
 """
 
@@ -15,11 +15,11 @@
 
 # The weight of a new run in the mean and in the errors: about the last ten runs of
 # a queue count, since the jobs that callers send change within a day.
-NEW_SHARE = 0.1
+NEW_RUN_WEIGHT = 0.1
 # Runs needed before the mean is used at all.
-FEWEST_RUNS = 3
-# Below this progress, in percent, a run says little about its speed.
-LEAST_PERCENT = 15.0
+MIN_RUNS = 3
+# Below this progress a run shows little about its speed.
+MIN_PROGRESS_PERCENT = 15.0
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
     def learn(self, queue: str, estimate: float, seconds: float) -> None:
         """Add a complete run that succeeded."""
         seen = self._seen.setdefault(queue, Seen())
-        share = max(NEW_SHARE, 1 / (seen.runs + 1))
+        share = max(NEW_RUN_WEIGHT, 1 / (seen.runs + 1))
         if seen.runs:
             seen.mean_error += share * (abs(seen.mean - seconds) - seen.mean_error)
             seen.estimate_error += share * (
@@ -59,7 +59,7 @@
     def guess(self, queue: str, step: Step) -> float:
         """Return the expected run time of one task of a step, in seconds."""
         seen = self._seen.get(queue)
-        if seen is None or seen.runs < FEWEST_RUNS:
+        if seen is None or seen.runs < MIN_RUNS:
             return step.estimate_seconds
         if step.estimate_seconds and seen.estimate_error <= seen.mean_error:
             return step.estimate_seconds
@@ -80,7 +80,7 @@
     def guess_left(self, member: Member, now: float) -> float:
         """Return a member's remaining seconds, by its progress if that is enough."""
         elapsed = now - (member.up_at or member.since)
-        if member.percent >= LEAST_PERCENT:
+        if member.percent >= MIN_PROGRESS_PERCENT:
             return elapsed * (100.0 - member.percent) / member.percent
         return max(0.0, self.guess_unit(member.unit) - elapsed)
 
--- a/src/primrosestile/decisions/work/election_delay.py
+++ b/src/primrosestile/decisions/work/election_delay.py
@@ -2,9 +2,8 @@
 
 If the first process to detect a vacancy became the owner, a VM of the smallest kind
 would be it most of the time on a site with many of them. It would fall behind with
-polls and orders, and soon give the ownership up or let workers' leases lapse. So each
-VM waits in proportion to what it lacks of an ample VM, within a bound; ample VMs don't
-wait.
+polls and orders, and soon resign or let workers' leases lapse. So each VM waits in
+proportion to what it lacks of an ample VM, within a bound; ample VMs don't wait.
 """
 
 import math
@@ -16,12 +15,12 @@
 # either would separate VMs that hardly differ.
 AMPLE_LINK_MBPS = 50.0
 # A link with this share of an ample one, or less, gets the longest delay.
-LEAST_LINK_SHARE = 0.1
+MIN_LINK_SHARE = 0.1
 # Shortest delay of a VM that lacks something: longer than VMs that start together are
 # apart, and than a vacancy takes to be detected.
-LEAST_WAIT_SECONDS = 0.3
+MIN_DELAY_SECONDS = 0.3
 # The bound: a takeover may take 2.5 s, of which the lease takes up to 1.2 s.
-LONGEST_WAIT_SECONDS = 0.5
+MAX_DELAY_SECONDS = 0.5
 
 
 def find_election_delay(processor: float, link: float) -> float:
@@ -34,7 +33,7 @@
     lack = max(_find_processor_lack(processor), _find_link_lack(link))
     if lack <= 0.0:
         return 0.0
-    return LEAST_WAIT_SECONDS + lack * (LONGEST_WAIT_SECONDS - LEAST_WAIT_SECONDS)
+    return MIN_DELAY_SECONDS + lack * (MAX_DELAY_SECONDS - MIN_DELAY_SECONDS)
 
 
 def _find_processor_lack(processor: float) -> float:
@@ -42,5 +41,5 @@
 
 
 def _find_link_lack(link: float) -> float:
-    share = max(link / AMPLE_LINK_MBPS, LEAST_LINK_SHARE)
-    return max(0.0, math.log(share) / math.log(LEAST_LINK_SHARE))
+    share = max(link / AMPLE_LINK_MBPS, MIN_LINK_SHARE)
+    return max(0.0, math.log(share) / math.log(MIN_LINK_SHARE))
--- a/src/primrosestile/decisions/work/evictions.py
+++ b/src/primrosestile/decisions/work/evictions.py
@@ -59,7 +59,7 @@
     victims: tuple[Unit, ...]
 
 
-# Need, whether it is filling, whether it is lasting, priority, and whether entitled.
+# Need, whether it is best-effort, whether it is a daemon, priority, whether entitled.
 _OfferKey = tuple[Need, bool, bool, int, bool]
 # Free processor, memory and accelerators.
 _Figures = tuple[int, int, int]
@@ -70,7 +70,7 @@
 
     With 176 workers a pass examines tens of waiting units, each of which could get
     room on any of the workers. What may be stopped on a worker, and at which cost,
-    depends only on the gainer's priority, entitlement and whether it is lasting, so
+    depends only on the gainer's priority, entitlement and whether it is a daemon, so
     it is computed once for all gainers that agree in these.
     """
 
@@ -89,7 +89,7 @@
         # Offers by worker, each valid while the worker's free figures are unchanged.
         self._offers: dict[_OfferKey, dict[str, tuple[_Figures, _Offer | None]]] = {}
 
-    def note_stopped(self, units: Iterable[Unit]) -> None:
+    def drop_offers(self, units: Iterable[Unit]) -> None:
         """Drop the cached offers of the workers on which units were stopped."""
         names = {member.worker for unit in units for member in unit.members}
         for offers in self._offers.values():
--- a/src/primrosestile/decisions/work/fleet_state.py
+++ b/src/primrosestile/decisions/work/fleet_state.py
@@ -59,14 +59,14 @@
         # and for the records; a new owner may receive ends before its first pass.
         self.wall = wall
         # Ended incarnations of workers, and their addresses. The store lists them for
-        # some seconds more; without this, each reading of the list would take them for
-        # new and ask them again.
+        # some seconds more; without this, each read of the list would add them as new
+        # and poll them again.
         self._ended: dict[str, str] = {}
         # Addresses at which workers have answered an earlier owner, by name, from the
         # records. An owner only starts runs on workers that have answered it.
         self.verified: dict[str, str] = {}
         # Members on workers without an entry, by worker; only time shows that they are
-        # gone, unless the worker has a verified address to ask.
+        # gone, unless the worker has a verified address to poll.
         self.unlisted_members: dict[str, list[Member]] = {}
 
     def take_policy(self, policy: Policy) -> None:
@@ -177,9 +177,10 @@
     def list_unlisted_workers(self) -> list[WorkerEntry]:
         """Return bare entries for workers that are in records but not in the list.
 
-        They take no new work, but can be asked where they have answered before.
-        Otherwise what runs there would lose the lease that the former owner gave, and
-        what ended with its worker would be waited for until that lease is over.
+        They take no new work, but can be polled where they have answered before.
+        Otherwise the lease that the former owner extended would lapse for what runs
+        there, and what ended with its worker would be waited for until that lease is
+        over.
         """
         return [
             make_bare_entry(name, self.verified[name])
@@ -213,7 +214,7 @@
     def clear_worker(
         self, worker: Worker, proof: Proof, now: float, refuses: bool = False
     ) -> None:
-        """Mark all members on a worker as gone; the worker may come back.
+        """Mark all members on a worker as gone; the worker may answer again.
 
         Args:
             worker: Whose lease is over.
@@ -261,15 +262,15 @@
         if checkpoint:
             unit.checkpoint = checkpoint
         if kind is EndKind.DONE and not unit.step.daemon:
-            self._note_done(unit)
+            self._record_success(unit)
         elif kind is EndKind.FAILED:
-            self._note_failed(unit, member.worker)
+            self._record_failure(unit, member.worker)
         elif unit.phase is Phase.ORDERED:
             unit.abandoned = True
         self.changed.add(unit.job)
         self.note_gone(member, Proof.ENDED)
 
-    def _note_done(self, unit: Unit) -> None:
+    def _record_success(self, unit: Unit) -> None:
         if unit.phase is not Phase.ORDERED:
             return
         unit.phase = Phase.DONE
@@ -284,7 +285,7 @@
             return False
         return all(unit.phase is Phase.DONE for unit in job.units.values())
 
-    def _note_failed(self, unit: Unit, worker: str) -> None:
+    def _record_failure(self, unit: Unit, worker: str) -> None:
         """Count one failure per run, however many members of a gang report it."""
         if unit.phase is not Phase.ORDERED:
             return
--- a/src/primrosestile/decisions/work/held_room.py
+++ b/src/primrosestile/decisions/work/held_room.py
@@ -1,8 +1,8 @@
 """Holds room that is being freed for the unit for which work was stopped.
 
 Load: gangs for which work is stopped on several workers, some of which answer late or
-not at all for seconds. Harm: room that is already free goes to the next unit, and room
-that isn't is waited for as if it were freed soon. The gang starts too late for its
+not at all for seconds. Harm: room that is already free goes to the next unit, and the
+gang waits for the rest as if it were freed soon. The gang starts too late for its
 caller, and work is stopped for it a second time. So room freed for a unit is held until
 it starts; a stop that stays unanswered no longer counts as room, and work is preferably
 stopped where stops are answered.
@@ -35,7 +35,7 @@
 LATE_COST_FACTOR = 4.0
 
 
-def note_stopping(fleet_state: FleetState, now: float) -> None:
+def record_stopping(fleet_state: FleetState, now: float) -> None:
     """Record when each run was first to be stopped, and which workers are late."""
     for member in fleet_state.list_stopping():
         if member.stopping_at is None:
@@ -82,8 +82,8 @@
 class Holds:
     """Excludes room that was freed for waiting units from a pass's rooms."""
 
-    def __init__(self, pictures: tuple[Rooms, ...], now: float) -> None:
-        self._pictures = pictures
+    def __init__(self, room_views: tuple[Rooms, ...], now: float) -> None:
+        self._room_views = room_views
         self._now = now
         self._held: dict[int, Unit] = {}
 
@@ -109,7 +109,7 @@
     def _list_rooms(self, unit: Unit) -> list[Room]:
         return [
             rooms[name]
-            for rooms in self._pictures
+            for rooms in self._room_views
             for name in unit.freed
             if name in rooms
         ]
--- a/src/primrosestile/decisions/work/maintenance.py
+++ b/src/primrosestile/decisions/work/maintenance.py
@@ -106,10 +106,10 @@
 
 
 def may_go(fleet_state: FleetState, vm: WorkerVm, taken: Collection[str]) -> bool:
-    """Whether a VM's maintenance respects the away limits of its services.
+    """Whether a VM's maintenance respects its services' limits on unavailable tasks.
 
-    What runs on a silent worker may be gone, and counts as away. If it counted as
-    running until its lease is over, a service could exceed its limit by one task.
+    What runs on a silent worker may be gone, and counts as unavailable. If it counted
+    as running until its lease is over, a service could exceed its limit by one task.
 
     Args:
         fleet_state: What runs where.
@@ -150,7 +150,7 @@
 
 
 def _respects_away_limits(worker: Worker, taken: Collection[str]) -> bool:
-    """Whether its services stay within their away limits if the worker goes too."""
+    """Whether its services stay within `max_unavailable` if the worker goes too."""
     for member in worker.members.values():
         step = member.unit.step
         if not step.daemon or not step.max_unavailable:
--- a/src/primrosestile/decisions/work/paces.py
+++ b/src/primrosestile/decisions/work/paces.py
@@ -1,12 +1,12 @@
-"""Throttles filling tasks to a share of their speed beside services.
+"""Limits best-effort tasks to a share of their speed beside services.
 
-Load: batch work that fills what lasting services leave unused, on workers whose service
-load changes within seconds. Harm: the filling tasks slow the services by undeclared
+Load: batch work that uses what daemon services leave unused, on workers whose service
+load changes within seconds. Harm: best-effort tasks slow the services by undeclared
 amounts, and the services' users wait too long; four seconds of that in a row break what
-operators promise them. A worker's report on a service is at most a second old. So the
-filling tasks are paused at once when a service is over its target, halved when it comes
-near, and raised in small steps only after it has been well below for some time: too
-high a pace costs users, too low a pace only some batch work.
+operators guarantee them. A worker's report on a service is at most a second old. So
+best-effort tasks are paused at once when a service is over its target, halved when it
+comes near, and raised in small steps only after it has been well below for some time:
+too high a pace costs users, too low a pace only some batch work.
 """
 
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
 )
 
 FULL_PERCENT = 100
-# Shares of the target from which filling tasks are halved, and below which they are
+# Shares of the target from which best-effort tasks are halved, and below which they are
 # raised.
 NEAR_SHARE = 0.8
 WELL_SHARE = 0.6
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """The share of its speed, in percent, at which a filling task is to work."""
+    """The share of its speed, in percent, at which a best-effort task is to work."""
 
     member: Member
     percent: int
@@ -80,7 +80,7 @@
 
 
 def choose_percent(member: Member, target_share: float | None, now: float) -> int:
-    """Return the share at which a filling task is to work from now on."""
+    """Return the percentage at which a best-effort task is to work from now on."""
     if target_share is None:
         return FULL_PERCENT
     pace = member.pace
--- a/src/primrosestile/decisions/work/placement.py
+++ b/src/primrosestile/decisions/work/placement.py
@@ -30,7 +30,7 @@
 # Urgent work is late after waiting half its run time, and of no use after 3.5 times it.
 URGENT_LOCALITY_WAIT_FACTOR = 1.5
 # While less than this share of a pool's accelerators is in use, no other unit needs
-# what a run outside its rack occupies for longer, and operators promise that nothing
+# what a run outside its rack occupies for longer, and operators guarantee that nothing
 # waits for three seconds while there is twice the room for it.
 IDLE_SHARE = 0.5
 IDLE_LOCALITY_WAIT_SECONDS = 2.0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Room that is reserved for a unit until it can start."""
+    """Room that is reserved on one worker for a unit until it can start."""
 
     need: Need
     best_effort: bool
--- a/src/primrosestile/decisions/work/plan.py
+++ b/src/primrosestile/decisions/work/plan.py
@@ -1,4 +1,7 @@
-"""One pass over all waiting units: what starts where, and what is stopped for it."""
+"""One pass over all waiting units: what starts where, and what is stopped for it.
+
+The pass examines the most urgent units first, within a bound on its duration.
+"""
 
 from dataclasses import dataclass
 
@@ -12,7 +15,7 @@
     begin_stopping,
     find_freed_workers,
     hold_freed_room,
-    note_stopping,
+    record_stopping,
 )
 from primrosestile.decisions.work.mechanisms import Mechanisms, make_mechanisms
 from primrosestile.decisions.work.placement import (
@@ -61,7 +64,7 @@
 
     Attributes:
         cost: Wasted core-seconds of all units stopped for the gainer in this pass.
-        again: Work was stopped for the gainer before, and it did not start.
+        again: Work was stopped for the gainer before, but it has not started.
     """
 
     unit: Unit
@@ -117,7 +120,7 @@
         self.rooms = make_rooms(fleet_state, now)
         self.waiting = fleet_state.list_waiting(now)
         _mark_reserved(self.waiting, self.rooms)
-        note_stopping(fleet_state, now)
+        record_stopping(fleet_state, now)
         self.future_rooms = add_stopping(fleet_state, self.rooms, now)
         self.holds = Holds((self.rooms, self.future_rooms), now)
         self.starts: list[Assignment] = []
@@ -282,7 +285,7 @@
                 self.fleet_state.abandon(victim)
                 begin_stopping(victim, self.now)
                 give_back(victim, self.future_rooms)
-            self.evictions.note_stopped(eviction.units)
+            self.evictions.drop_offers(eviction.units)
             workers = self._place(unit, self.future_rooms)
             if workers is not None:
                 hold_freed_room(unit, (worker.name for worker in workers), self.now)
--- a/src/primrosestile/decisions/work/preemption.py
+++ b/src/primrosestile/decisions/work/preemption.py
@@ -38,7 +38,7 @@
 # What may be wasted for work that is not urgent but has a higher priority than what is
 # stopped: a few restarts, against the hundreds of core-seconds of a gang that would
 # otherwise be late for its caller.
-USUAL_CORE_SECONDS = 250.0
+MAX_WASTE_CORE_SECONDS = 250.0
 # Urgent work is the last to be stopped: it would make one caller late for another.
 URGENT_VICTIM_FACTOR = 10.0
 
@@ -105,7 +105,7 @@
     if entitled or gainer.step.daemon:
         return True
     if gainer.job.queue.priority > 0:
-        return eviction.cost <= USUAL_CORE_SECONDS
+        return eviction.cost <= MAX_WASTE_CORE_SECONDS
     if not eviction.aged:
         return True
     return eviction.cost <= URGENT_WASTE_FACTOR * find_work(gainer, seconds)
--- a/src/primrosestile/decisions/work/queue_order.py
+++ b/src/primrosestile/decisions/work/queue_order.py
@@ -33,7 +33,7 @@
     Attributes:
         entitled: It is urgent, and within its organisation's guarantee.
         useless: It would end too late to be of use to its caller.
-        lasting: Its tasks are services; each second in which one is not running
+        daemon: Its tasks are services; each second in which one is not running
             counts, however long ago its job was accepted.
         slack: Seconds that it can wait and still meet its objective.
     """
--- a/src/primrosestile/decisions/work/speeds.py
+++ b/src/primrosestile/decisions/work/speeds.py
@@ -18,17 +18,17 @@
 
 # The weight of a new comparison: tasks of one step differ by 15%, so about the last
 # five count.
-NEW_SHARE = 0.2
+NEW_COMPARISON_WEIGHT = 0.2
 # Comparisons before a worker counts as slow: one long task must not suffice.
-FEWEST_COMPARISONS = 3
+MIN_COMPARISONS = 3
 # Between the usual 1.0 and a slow worker's 1.3, with 15% between tasks.
 SLOW_FACTOR = 1.14
-# Bound on one comparison: its factor is limited to 1 / this and this.
-LARGEST_FACTOR = 2.0
+# Bounds of one comparison's factor: 1 / this, and this.
+MAX_FACTOR = 2.0
 # Ended tasks of a step before another one is compared with them.
-FEWEST_SIBLINGS = 3
-# Steps kept; older ones have ended.
-STEPS_KEPT = 200
+MIN_SIBLINGS = 3
+# Steps whose run times are kept; older ones have ended.
+MAX_STEPS = 200
 # A run whose progress is this many times less than expected, after this many seconds,
 # shows a worker that is currently slow.
 BEHIND_FACTOR = 2.5
@@ -45,7 +45,7 @@
     def find_factor(self, worker: str) -> float:
         """Return how many times as long as usual a worker takes; 1 if not known."""
         count, factor = self._factors.get(worker, (0, 1.0))
-        return factor if count >= FEWEST_COMPARISONS else 1.0
+        return factor if count >= MIN_COMPARISONS else 1.0
 
     def is_slow(self, worker: str) -> bool:
         """Whether urgent work should preferably go elsewhere."""
@@ -74,18 +74,18 @@
     def _compare_step(self, unit: Unit, worker: str, seconds: float) -> None:
         times = self._steps.get(unit.step_key)
         if times is None:
-            if len(self._steps) >= STEPS_KEPT:
+            if len(self._steps) >= MAX_STEPS:
                 del self._steps[next(iter(self._steps))]
             times = self._steps[unit.step_key] = []
-        if len(times) >= FEWEST_SIBLINGS:
+        if len(times) >= MIN_SIBLINGS:
             self._learn(worker, seconds / median(times))
         times.append(seconds)
 
     def _learn(self, worker: str, factor: float) -> None:
         count, known = self._factors.get(worker, (0, 1.0))
         # One comparison can be far off, as when a task waited for its data.
-        factor = min(LARGEST_FACTOR, max(1 / LARGEST_FACTOR, factor))
-        share = max(NEW_SHARE, 1 / (count + 1))
+        factor = min(MAX_FACTOR, max(1 / MAX_FACTOR, factor))
+        share = max(NEW_COMPARISON_WEIGHT, 1 / (count + 1))
         self._factors[worker] = (count + 1, known + share * (factor - known))
 
     def make_record(self) -> dict[str, tuple[int, float]]:
--- a/src/primrosestile/decisions/work/units.py
+++ b/src/primrosestile/decisions/work/units.py
@@ -27,8 +27,9 @@
 )
 from primrosestile.state.workers import WorkerEntry
 
-# The pace that an earlier owner set is not known. Beside a service such a filling task
-# is set to 0 and raised from there, since full speed may be what it was reduced from.
+# The pace that an earlier owner set is not known. Beside a service such a best-effort
+# task is set to 0 and raised from there, since that owner may have reduced it from full
+# speed.
 UNKNOWN_PACE = -1
 
 
@@ -47,8 +48,8 @@
 class Proof(StrEnum):
     """Why a member certainly does not run, and never will.
 
-    The list is closed: code that marks a member as gone must name one of these, and the
-    log shows it. When a task has run twice, the proof that was false is the cause.
+    Code that marks a member as gone must name one of these, and the log shows it. When
+    a task has run twice, the proof that was false is the cause.
 
     Attributes:
         ENDED: Its worker listed its end.
@@ -58,10 +59,11 @@
         FENCED_OFF: An earlier owner ordered it, and a poll under our fence does not
             show it.
         GANG_ENDED: Another member reported success for the whole gang.
-        LIFE_OVER: Its worker's address answers that this incarnation has ended.
+        INCARNATION_OVER: Its worker's address answers that this incarnation has ended.
         LEASE_OVER: Its worker's lease has run out on the worker's clock.
         VM_ORDERED: Its worker's VM has begun its maintenance.
-        UNHEARD: No owner can have extended its worker's lease for that long.
+        NEVER_ANSWERED: Its worker never answered this owner, and no earlier owner can
+            have extended its lease until now.
     """
 
     ENDED = "ended"
@@ -73,7 +75,7 @@
     LIFE_OVER = "life over"
     LEASE_OVER = "lease over"
     VM_ORDERED = "VM ordered"
-    UNHEARD = "unheard"
+    NEVER_ANSWERED = "unheard"
 
 
 # Proofs that an incarnation has ended for good, so that its name never comes back;
@@ -314,8 +316,9 @@
         verified: The address of its entry has answered an owner as this incarnation.
         closed: It is being drained for its VM's maintenance.
         cordoned: Operators have cordoned its failure domain.
-        quarantined_until: It gets no work before, as work on it went badly.
-        leaves_at: When it may be gone, once it has announced that it leaves.
+        quarantined_until: It gets no work before this time, as runs on it failed,
+            stalled or were refused.
+        leaves_at: When it may be gone; infinite unless it has announced that it leaves.
         stop_late_at: When a run there was last seen that should have ended.
         answered_at: When it last answered a call.
         unanswered_at: Time of the first call since then that it left unanswered.
--- a/src/primrosestile/decisions/work/worker_quarantine.py
+++ b/src/primrosestile/decisions/work/worker_quarantine.py
@@ -17,14 +17,14 @@
 # Work that can't succeed fails partway; a run that fails this soon more likely ran on a
 # worker that fails everything. That worker is quarantined for a shorter time after one
 # failure, since the next job may have only one more attempt.
-AT_ONCE_SECONDS = 0.25
+EARLY_FAILURE_SECONDS = 0.25
 EARLY_FAILURE_QUARANTINE_SECONDS = 3.0
-# Work placed on a worker on which a task stalled stalls as well, for some seconds.
-STALL_SECONDS = 5.0
+# For some seconds, other work stalls as well on a worker on which a task has stalled.
+STALL_QUARANTINE_SECONDS = 5.0
 # Quarantine of a worker that refused a start because it is unhealthy.
-UNHEALTHY_SECONDS = 1.0
+UNHEALTHY_QUARANTINE_SECONDS = 1.0
 # At most this share of all workers is quarantined: if more fail, they aren't the cause.
-LARGEST_SHARE = 0.34
+MAX_QUARANTINED_SHARE = 0.34
 
 
 @dataclass(slots=True)
@@ -60,10 +60,10 @@
         history = self._histories.setdefault(worker, FailureHistory())
         history.failed_jobs.add(job)
         known_bad = len(history.failed_jobs) >= QUARANTINE_JOBS
-        at_once = seconds < AT_ONCE_SECONDS
+        at_once = seconds < EARLY_FAILURE_SECONDS
         if not known_bad and not at_once:
             return 0.0
-        if self._count_quarantined(now) + 1 > LARGEST_SHARE * workers:
+        if self._count_quarantined(now) + 1 > MAX_QUARANTINED_SHARE * workers:
             return 0.0
         pause = QUARANTINE_SECONDS if known_bad else EARLY_FAILURE_QUARANTINE_SECONDS
         history.quarantined_until = now + pause
@@ -77,10 +77,12 @@
             now: On the loop's clock.
             workers: How many there are.
         """
-        if self._count_quarantined(now) + 1 > LARGEST_SHARE * workers:
+        if self._count_quarantined(now) + 1 > MAX_QUARANTINED_SHARE * workers:
             return 0.0
         history = self._histories.setdefault(worker, FailureHistory())
-        history.quarantined_until = max(history.quarantined_until, now + STALL_SECONDS)
+        history.quarantined_until = max(
+            history.quarantined_until, now + STALL_QUARANTINE_SECONDS
+        )
         return history.quarantined_until
 
     def _count_quarantined(self, now: float) -> int:
