--- a/src/primrosestile/coordination/work/ended_jobs.py
+++ b/src/primrosestile/coordination/work/ended_jobs.py
@@ -68,8 +68,8 @@
         """
         return job_id in self._known_since
 
-    def note(self, job_id: str) -> None:
-        """Note that a job's last record is in the store."""
+    def add_job(self, job_id: str) -> None:
+        """Add a job whose last record is in the store."""
         self._known_since.setdefault(job_id, read_clock())
 
     async def clean(self) -> None:
@@ -105,7 +105,7 @@
         except msgspec.MsgspecError as error:
             _log.warning("record_unreadable", key=entry.key, reason=str(error))
             return
-        self.note(entry.key.removeprefix(ENDED_PREFIX))
+        self.add_job(entry.key.removeprefix(ENDED_PREFIX))
 
     async def _remove_old(self) -> None:
         before = read_clock() - self._keep_seconds
--- a/src/primrosestile/coordination/work/maintenance.py
+++ b/src/primrosestile/coordination/work/maintenance.py
@@ -185,7 +185,7 @@
             self._wake()
         for vm in plan.begin:
             await self._begin(wave, vm)
-        return plan.empty
+        return plan.drain
 
     async def _record_over(self, wave: Wave, vms: dict[str, WorkerVm]) -> None:
         """Record the VMs that are back."""
@@ -306,10 +306,10 @@
                 await self._withdraw_order(wave, vm)
 
     async def _withdraw_order(self, wave: Wave, vm: WorkerVm) -> None:
-        """Withdraw the record of an order; the VM leaves, and is chosen again later.
+        """Withdraw the record of an order, so that the VM can be chosen again later.
 
-        Only for one that certainly has not begun. Any other would no longer count as
-        away, and one more than allowed would be ordered.
+        Only for maintenance that certainly has not begun. Otherwise the VM would no
+        longer count as away, and one more than allowed would be ordered.
         """
         record = self._records.find(wave)
         begun = tuple(name for name in record.begun if name != vm.name)
--- a/src/primrosestile/coordination/work/recorder.py
+++ b/src/primrosestile/coordination/work/recorder.py
@@ -125,13 +125,13 @@
         return since is None or read_clock() - since < STALL_SECONDS
 
     def note_job(self, job: Job, revision: int) -> None:
-        """Note the revision of a job's key."""
+        """Set the known revision of a job's key."""
         self._jobs[job.job_id] = revision
         if job.state is JobState.QUEUED:
             self._waiting.add(job.job_id)
 
-    def note_revision(self, job_id: str, revision: int) -> None:
-        """Note the revision of a job's progress record."""
+    def set_progress_revision(self, job_id: str, revision: int) -> None:
+        """Set the known revision of a job's progress record."""
         self._revisions[job_id] = revision
 
     def request_round(self) -> None:
@@ -163,7 +163,7 @@
             await self._wanted.wait()
             self._wanted.clear()
             done, self._round = self._round, None
-            jobs = sorted(self._fleet_state.take_changed(), key=lambda job: job.job_id)
+            jobs = sorted(self._fleet_state.pop_changed(), key=lambda job: job.job_id)
             self._writing_since = read_clock()
             await self._write_round(jobs)
             self._writing_since = None
@@ -255,7 +255,7 @@
             fence=self._term.fence,
             how=how,
         )
-        self._ended.note(job.job_id)
+        self._ended.add_job(job.job_id)
         self._fleet_state.jobs.pop(job.job_id, None)
         self._jobs.pop(job.job_id, None)
         self._revisions.pop(job.job_id, None)
--- a/src/primrosestile/coordination/work/request_watch.py
+++ b/src/primrosestile/coordination/work/request_watch.py
@@ -155,7 +155,7 @@
             except msgspec.MsgspecError as error:
                 self._note_unreadable(entry.key, str(error))
                 continue
-            self._recorder.note_revision(job_id, entry.mod_revision)
+            self._recorder.set_progress_revision(job_id, entry.mod_revision)
         return known
 
     def _note_unreadable(self, key: str, reason: str) -> None:
@@ -269,7 +269,7 @@
         self._revision = max(self._revision, batch.revision)
         self._revision_at = asked_at
         if batch.changes:
-            self._take_changes(batch.changes, reported_before)
+            self._process_changes(batch.changes, reported_before)
             self._known_at = asked_at
         else:
             # The store waited for a change before it answered that there is none.
@@ -349,7 +349,7 @@
             self._process_entries(jobs, since=since)
             self._wake()
 
-    def _take_changes(self, changes: tuple[Change, ...], since: float) -> None:
+    def _process_changes(self, changes: tuple[Change, ...], since: float) -> None:
         entries = [each.entry for each in changes if each.entry is not None]
         if entries:
             self._process_entries(entries, since=since)
--- a/src/primrosestile/coordination/work/run_statistics.py
+++ b/src/primrosestile/coordination/work/run_statistics.py
@@ -11,7 +11,7 @@
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.keys import OWNER_KEY, STATISTICS_KEY
 from primrosestile.coordination.work.term import Term
-from primrosestile.decisions.work.durations import Durations, Seen
+from primrosestile.decisions.work.durations import Durations, QueueRunTimes
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.errors import Failure
 from primrosestile.protocol.transactions import Condition, TransactionalStore, Write
@@ -31,7 +31,7 @@
     """
 
     speeds: dict[str, tuple[int, float]] = {}
-    durations: dict[str, Seen] = {}
+    durations: dict[str, QueueRunTimes] = {}
 
 
 class StatisticsStore:
--- a/src/primrosestile/coordination/work/scheduler.py
+++ b/src/primrosestile/coordination/work/scheduler.py
@@ -291,7 +291,7 @@
             self._fleet_state.wall = read_wall_clock()
             policy = self._policies.policy
             if policy is not None and policy is not self._fleet_state.policy:
-                self._fleet_state.take_policy(policy)
+                self._fleet_state.apply_policy(policy)
             self._open_due()
             self._drop_never_answered()
             self._log_gone()
@@ -380,7 +380,7 @@
                 )
 
     def _log_gone(self) -> None:
-        log_gone(self._fleet_state.take_gone(), self._links, self._term.fence)
+        log_gone(self._fleet_state.pop_gone(), self._links, self._term.fence)
         log_crashes(self._fleet_state.crashes.pop_found())
 
     async def _report_contact(self) -> None:
--- a/src/primrosestile/coordination/work/worker_discovery.py
+++ b/src/primrosestile/coordination/work/worker_discovery.py
@@ -77,17 +77,17 @@
         own = [entry for entry in entries if self._is_own(entry)]
         changed = False
         for entry in own:
-            changed |= self._take_entry(entry)
-        self._fleet_state.forget_ended(
+            changed |= self._apply_entry(entry)
+        self._fleet_state.remove_ended(
             {entry.worker for entry in entries} | found.refused
         )
         self._unlist_refused(found.refused)
         self._note_missing({entry.worker for entry in own})
-        changed |= self._take_cordons(found.cordoned)
+        changed |= self._apply_cordons(found.cordoned)
         if changed:
             self._wake()
 
-    def _take_cordons(self, cordoned: frozenset[str]) -> bool:
+    def _apply_cordons(self, cordoned: frozenset[str]) -> bool:
         """Give no new work to the failure domains that operators have cordoned.
 
         What runs there goes on. New work would be on workers that operators are about
@@ -125,7 +125,7 @@
             )
         return False
 
-    def _take_entry(self, entry: WorkerEntry) -> bool:
+    def _apply_entry(self, entry: WorkerEntry) -> bool:
         if self._fleet_state.has_ended(entry):
             return False
         worker = self._fleet_state.workers.get(entry.worker)
--- a/src/primrosestile/decisions/work/crashes.py
+++ b/src/primrosestile/decisions/work/crashes.py
@@ -1,6 +1,6 @@
 """Detects poison tasks: tasks that crash the workers that start them.
 
-Load: a task that crashes each worker on which it starts, beside innocent tasks, on a
+Load: a task that crashes each worker on which it starts, beside healthy tasks, on a
 fleet whose workers also crash by themselves. Harm: restarted without bound, such a task
 crashes one worker after another, with all that runs there; if it is given up too soon,
 a job that could succeed fails.
--- a/src/primrosestile/decisions/work/durations.py
+++ b/src/primrosestile/decisions/work/durations.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class QueueRunTimes:
     """Statistics of one queue's runs.
 
     Attributes:
@@ -42,28 +42,30 @@
     """Run times by queue."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, Seen] = {}
+        self._run_times: dict[str, QueueRunTimes] = {}
 
     def learn(self, queue: str, estimate: float, seconds: float) -> None:
         """Add a complete run that succeeded."""
-        seen = self._seen.setdefault(queue, Seen())
-        share = max(NEW_RUN_WEIGHT, 1 / (seen.runs + 1))
-        if seen.runs:
-            seen.mean_error += share * (abs(seen.mean - seconds) - seen.mean_error)
-            seen.estimate_error += share * (
-                abs(estimate - seconds) - seen.estimate_error
+        run_times = self._run_times.setdefault(queue, QueueRunTimes())
+        share = max(NEW_RUN_WEIGHT, 1 / (run_times.runs + 1))
+        if run_times.runs:
+            run_times.mean_error += share * (
+                abs(run_times.mean - seconds) - run_times.mean_error
             )
-        seen.mean += share * (seconds - seen.mean)
-        seen.runs += 1
+            run_times.estimate_error += share * (
+                abs(estimate - seconds) - run_times.estimate_error
+            )
+        run_times.mean += share * (seconds - run_times.mean)
+        run_times.runs += 1
 
     def guess(self, queue: str, step: Step) -> float:
         """Return the expected run time of one task of a step, in seconds."""
-        seen = self._seen.get(queue)
-        if seen is None or seen.runs < MIN_RUNS:
+        run_times = self._run_times.get(queue)
+        if run_times is None or run_times.runs < MIN_RUNS:
             return step.estimate_seconds
-        if step.estimate_seconds and seen.estimate_error <= seen.mean_error:
+        if step.estimate_seconds and run_times.estimate_error <= run_times.mean_error:
             return step.estimate_seconds
-        return seen.mean
+        return run_times.mean
 
     def guess_unit(self, unit: Unit) -> float:
         """Return the expected run time of a unit's next run, in seconds."""
@@ -84,10 +86,10 @@
             return elapsed * (100.0 - member.percent) / member.percent
         return max(0.0, self.guess_unit(member.unit) - elapsed)
 
-    def make_record(self) -> dict[str, Seen]:
+    def make_record(self) -> dict[str, QueueRunTimes]:
         """Return the statistics for the next owner."""
-        return dict(self._seen)
+        return dict(self._run_times)
 
-    def restore(self, record: Mapping[str, Seen]) -> None:
+    def restore(self, record: Mapping[str, QueueRunTimes]) -> None:
         """Load the statistics of an earlier owner."""
-        self._seen.update(record)
+        self._run_times.update(record)
--- a/src/primrosestile/decisions/work/evictions.py
+++ b/src/primrosestile/decisions/work/evictions.py
@@ -20,7 +20,7 @@
     list_racks,
     take_room,
 )
-from primrosestile.decisions.work.preemption import Eviction, find_cost, is_aged
+from primrosestile.decisions.work.preemption import Eviction, compute_cost, is_aged
 from primrosestile.decisions.work.units import MemberState, Unit
 from primrosestile.state.work import Need
 
@@ -177,18 +177,18 @@
             counts[member.unit] = counts.get(member.unit, 0) + 1
         late_stop_factor = find_late_stop_factor(worker, self.now)
         victims = [
-            _Candidate(unit, self._find_cost(unit) * late_stop_factor, count)
+            _Candidate(unit, self._compute_cost(unit) * late_stop_factor, count)
             for unit, count in counts.items()
         ]
         victims.sort(key=_get_cost)
         self._victims[name] = victims
         return victims
 
-    def _find_cost(self, unit: Unit) -> float:
+    def _compute_cost(self, unit: Unit) -> float:
         """Return the cost of a unit, cached for all workers that it is on."""
         cost = self._costs.get(unit)
         if cost is None:
-            cost = self._costs[unit] = find_cost(unit, self.now)
+            cost = self._costs[unit] = compute_cost(unit, self.now)
         return cost
 
 
@@ -221,14 +221,14 @@
             touched = {name}
             for victim in offer.victims:
                 touched |= self._stop(victim)
-            take_room(self.unit, self._own(name))
+            take_room(self.unit, self._copy_room(name))
             for each in touched:
                 offers[each] = self.make_offer(self.rooms[each])
         chosen = tuple(self._chosen.values())
         aged = any(is_aged(each, self._evictions.now) for each in chosen)
         return Eviction(chosen, cost, aged)
 
-    def _own(self, name: str) -> Room:
+    def _copy_room(self, name: str) -> Room:
         """Return a copy of a room that may be changed; the caller's is not changed."""
         if name not in self._changed:
             self._changed.add(name)
@@ -239,7 +239,7 @@
         """Count a unit as stopped; return the workers on which that frees room."""
         self._chosen[id(victim)] = victim
         touched = {member.worker for member in victim.members} & self.rooms.keys()
-        give_back(victim, {name: self._own(name) for name in touched})
+        give_back(victim, {name: self._copy_room(name) for name in touched})
         return touched
 
     def make_offer(self, room: Room) -> _Offer | None:
--- a/src/primrosestile/decisions/work/fleet_state.py
+++ b/src/primrosestile/decisions/work/fleet_state.py
@@ -43,8 +43,8 @@
     """The fleet's state; events change it, decisions read it.
 
     Attributes:
-        changed: Jobs whose records changed since the last `take_changed`.
-        gone: Members marked as gone since the last `take_gone`, and why.
+        changed: Jobs whose records changed since the last `pop_changed`.
+        gone: Members marked as gone since the last `pop_gone`, and why.
         crashes: Which tasks crash their workers.
     """
 
@@ -69,7 +69,7 @@
         # gone, unless the worker has a verified address to poll.
         self.unlisted_members: dict[str, list[Member]] = {}
 
-    def take_policy(self, policy: Policy) -> None:
+    def apply_policy(self, policy: Policy) -> None:
         """Apply a newer version; a job whose queue was removed keeps its settings."""
         self.policy = policy
         for job in self.jobs.values():
@@ -110,7 +110,7 @@
         unit.run = record.run
         unit.failures = record.failures
         unit.checkpoint = record.checkpoint
-        unit.failed_here = record.failure_counted
+        unit.failure_counted = record.failure_counted
         unit.crashes = {each.position: each for each in record.crashes}
         if unit.phase is Phase.ORDERED:
             unit.abandoned = record.failure_counted
@@ -127,10 +127,10 @@
         unit.phase = Phase.ORDERED
         unit.run += 1
         unit.abandoned = False
-        unit.failed_here = False
+        unit.failure_counted = False
         unit.reserved_workers = ()
-        unit.freed = ()
-        unit.freed_rounds = 0
+        unit.freed_workers = ()
+        unit.eviction_count = 0
         unit.isolating_since = None
         self.place_members(unit, workers, now)
         self.changed.add(unit.job)
@@ -206,7 +206,7 @@
         """Whether an entry is that of an incarnation that is known to have ended."""
         return self._ended.get(entry.worker) == entry.address
 
-    def forget_ended(self, present: Collection[str]) -> None:
+    def remove_ended(self, present: Collection[str]) -> None:
         """Remove ended incarnations that are no longer in the list."""
         for name in [name for name in self._ended if name not in present]:
             del self._ended[name]
@@ -291,9 +291,9 @@
             return
         unit.abandoned = True
         unit.failed_on.add(worker)
-        if unit.failed_here:
+        if unit.failure_counted:
             return
-        unit.failed_here = True
+        unit.failure_counted = True
         unit.failures += 1
         if unit.step.daemon or unit.failures < unit.job.queue.attempts:
             return
@@ -409,13 +409,13 @@
             ),
         }
 
-    def take_gone(self) -> list[tuple[Member, Proof]]:
+    def pop_gone(self) -> list[tuple[Member, Proof]]:
         """Return the members marked as gone since the last call, and why."""
         gone = self.gone
         self.gone = []
         return gone
 
-    def take_changed(self) -> set[Job]:
+    def pop_changed(self) -> set[Job]:
         """Return the jobs whose records must be written, and clear the set."""
         changed = self.changed
         self.changed = set()
--- a/src/primrosestile/decisions/work/held_room.py
+++ b/src/primrosestile/decisions/work/held_room.py
@@ -75,7 +75,7 @@
 
 def hold_freed_room(unit: Unit, workers: Iterable[str], now: float) -> None:
     """Record the workers on which room is being freed for a unit."""
-    unit.freed = tuple(workers)
+    unit.freed_workers = tuple(workers)
     unit.freed_until = now + HELD_SECONDS
 
 
@@ -90,10 +90,10 @@
     def hold(self, units: Iterable[Unit]) -> None:
         """Hold the room that was freed for units, unless its time has passed."""
         for unit in units:
-            if not unit.freed or id(unit) in self._held:
+            if not unit.freed_workers or id(unit) in self._held:
                 continue
             if self._now >= unit.freed_until:
-                unit.freed = ()
+                unit.freed_workers = ()
                 continue
             self._held[id(unit)] = unit
             for room in self._list_rooms(unit):
@@ -110,7 +110,7 @@
         return [
             rooms[name]
             for rooms in self._room_views
-            for name in unit.freed
+            for name in unit.freed_workers
             if name in rooms
         ]
 
@@ -119,8 +119,12 @@
     unit: Unit, future_rooms: Rooms, now: float
 ) -> list[Worker] | None:
     """Return the workers on which room is freed for a unit, if it will fit there."""
-    freed = {name: future_rooms[name] for name in unit.freed if name in future_rooms}
-    return fill(unit, find_eligible(unit, freed, now)) if freed else None
+    freed_workers = {
+        name: future_rooms[name] for name in unit.freed_workers if name in future_rooms
+    }
+    return (
+        fill(unit, find_eligible(unit, freed_workers, now)) if freed_workers else None
+    )
 
 
 def _give_room(unit: Unit, room: Room) -> None:
--- a/src/primrosestile/decisions/work/maintenance.py
+++ b/src/primrosestile/decisions/work/maintenance.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from primrosestile.decisions.work.fleet_state import FleetState
-from primrosestile.decisions.work.preemption import find_cost
+from primrosestile.decisions.work.preemption import compute_cost
 from primrosestile.decisions.work.units import Member, MemberState, Unit, Worker
 from primrosestile.state.maintenance import VmState, Wave, WorkerVm
 
@@ -30,12 +30,12 @@
 
     Attributes:
         begin: VMs whose maintenance is to be ordered.
-        empty: Workers to drain, since their VMs' maintenance is to be ordered soon.
+        drain: Workers to drain, since their VMs' maintenance is to be ordered soon.
         save: Units with checkpoints on those workers, to be stopped at once.
     """
 
     begin: tuple[WorkerVm, ...] = ()
-    empty: frozenset[str] = frozenset()
+    drain: frozenset[str] = frozenset()
     save: tuple[Unit, ...] = ()
 
 
@@ -70,17 +70,17 @@
     pressed = seconds_left - SPARE_SECONDS < rounds * ROUND_SECONDS
     chosen = _choose(fleet_state, waiting, wave.most - away, leaving, now)
     begin: list[WorkerVm] = []
-    empty: list[Worker] = []
+    drain: list[Worker] = []
     for vm in chosen:
         worker = fleet_state.workers.get(vm.worker)
         if worker is None or pressed or not _is_worth_waiting(worker):
             begin.append(vm)
         else:
-            empty.append(worker)
+            drain.append(worker)
     return MaintenancePlan(
         begin=tuple(begin),
-        empty=frozenset(worker.name for worker in empty),
-        save=_list_saved(empty),
+        drain=frozenset(worker.name for worker in drain),
+        save=_list_saved(drain),
     )
 
 
@@ -125,7 +125,7 @@
     if worker is None:
         return (False, 0.0)
     units = {id(member.unit): member.unit for member in worker.members.values()}
-    return (bool(units), sum(find_cost(unit, now) for unit in units.values()))
+    return (bool(units), sum(compute_cost(unit, now) for unit in units.values()))
 
 
 def _is_worth_waiting(worker: Worker) -> bool:
--- a/src/primrosestile/decisions/work/mechanisms.py
+++ b/src/primrosestile/decisions/work/mechanisms.py
@@ -1,8 +1,8 @@
 """The mechanisms of a pass, each of which can be replaced by itself.
 
-A mechanism without effect costs every reader and every pass. Its effect shows only when
-it alone is replaced on the same workloads: `scripts/bench ablation` does that, so the
-pass takes its mechanisms from here.
+A mechanism without effect costs every reader and every pass. An effect shows only when
+a mechanism alone is replaced on the same workloads: `scripts/bench ablation` does that,
+so the pass takes its mechanisms from here.
 """
 
 from collections.abc import Collection
--- a/src/primrosestile/decisions/work/plan.py
+++ b/src/primrosestile/decisions/work/plan.py
@@ -134,7 +134,9 @@
         self.holds.hold(self.waiting)
         self._restart_stalled()
         held = [
-            each for each in self.waiting if each.freed and not self._is_entitled(each)
+            each
+            for each in self.waiting
+            if each.freed_workers and not self._is_entitled(each)
         ]
         # Units of one step are alike: if one can't start, none of the others can.
         waiting: set[tuple[object, ...]] = set()
@@ -269,7 +271,7 @@
         """Take room that is being freed for a unit, or have more freed."""
         workers = find_freed_workers(unit, self.future_rooms, self.now)
         if workers is None:
-            unit.freed = ()
+            unit.freed_workers = ()
             workers = self._place(unit, self.future_rooms)
         if workers is None:
             eviction = self.evictions.find(unit, self.future_rooms)
@@ -278,8 +280,8 @@
             seconds = self.durations.guess_unit(unit)
             if not is_affordable(eviction, unit, rank.entitled, seconds):
                 return False
-            again = unit.freed_rounds > 0
-            unit.freed_rounds += 1
+            again = unit.eviction_count > 0
+            unit.eviction_count += 1
             for victim in eviction.units:
                 self.stops.append(Stop(victim, unit, eviction.cost, again))
                 self.fleet_state.abandon(victim)
--- a/src/primrosestile/decisions/work/preemption.py
+++ b/src/primrosestile/decisions/work/preemption.py
@@ -28,12 +28,12 @@
 SPARED_STARTS = 3
 # Work without checkpoints loses all that it did, so work that is not urgent stops only
 # what has just started. If it stopped none, gangs would find too little room until long
-# tables end.
+# table jobs end.
 UNSAVED_SECONDS = 3.0
 # Urgent work may also stop older unsaved work if the cost of all that is stopped is at
 # most this many times its own work. Without that, a gang of four whole workers in one
-# rack waited for ten seconds, with single unsaved tasks, all of them old, spread over
-# four racks, and its caller got nothing.
+# rack waited for ten seconds: single unsaved tasks, all of them old, were spread over
+# four racks, and its caller got no result.
 URGENT_WASTE_FACTOR = 2.0
 # What may be wasted for work that is not urgent but has a higher priority than what is
 # stopped: a few restarts, against the hundreds of core-seconds of a gang that would
@@ -63,7 +63,7 @@
     return need.processor / 1000 + need.accelerators * CORES_PER_ACCELERATOR
 
 
-def find_cost(unit: Unit, now: float) -> float:
+def compute_cost(unit: Unit, now: float) -> float:
     """Return the core-seconds that stopping a unit wastes, weighted if urgent."""
     cores = count_cores(unit)
     cost = 0.0
@@ -79,7 +79,7 @@
     return cost
 
 
-def find_work(unit: Unit, seconds: float) -> float:
+def compute_core_seconds(unit: Unit, seconds: float) -> float:
     """Return the core-seconds of a unit's own run.
 
     Args:
@@ -108,7 +108,7 @@
         return eviction.cost <= MAX_WASTE_CORE_SECONDS
     if not eviction.aged:
         return True
-    return eviction.cost <= URGENT_WASTE_FACTOR * find_work(gainer, seconds)
+    return eviction.cost <= URGENT_WASTE_FACTOR * compute_core_seconds(gainer, seconds)
 
 
 def may_stop(victim: Unit, gainer: Unit, entitled: Collection[str], now: float) -> bool:
--- a/src/primrosestile/decisions/work/queue_order.py
+++ b/src/primrosestile/decisions/work/queue_order.py
@@ -1,13 +1,13 @@
 """Which waiting unit goes first.
 
-Load: bursts in which several times as much waits as there is room for. Harm: in
-order of arrival, urgent work with two seconds of slack waits behind renders that have
-twenty. So urgent work goes first, work within its organisation's guarantee before the
-rest; then the order is by queue priority, and then by least slack against the
-objective. By slack alone, tables with an objective of twenty seconds went before
-rebuilds that waited for forty. Work that is already late goes behind work that can
-still be in time, or it would make that late as well, one after another. Work so far
-past its objective that the result is of no use to its caller goes last.
+Load: bursts in which several times as much waits as there is room for. Harm: in order
+of arrival, urgent work with two seconds of slack waits behind renders that have twenty.
+So urgent work goes first, work within its organisation's guarantee before the rest;
+then the order is by queue priority, and then by least slack against the objective. By
+slack alone, table jobs with an objective of twenty seconds went before rebuild jobs
+that waited for forty. Work that is already late goes behind work that can still be in
+time, or it would make that late as well, one after another. Work so far past its
+objective that the result is of no use to its caller goes last.
 """
 
 from collections import Counter
--- a/src/primrosestile/decisions/work/speeds.py
+++ b/src/primrosestile/decisions/work/speeds.py
@@ -69,7 +69,7 @@
             return
         middle = median(rates.values())
         for worker, rate in rates.items():
-            self._learn(worker, middle / rate)
+            self._add_comparison(worker, middle / rate)
 
     def _compare_step(self, unit: Unit, worker: str, seconds: float) -> None:
         times = self._steps.get(unit.step_key)
@@ -78,10 +78,10 @@
                 del self._steps[next(iter(self._steps))]
             times = self._steps[unit.step_key] = []
         if len(times) >= MIN_SIBLINGS:
-            self._learn(worker, seconds / median(times))
+            self._add_comparison(worker, seconds / median(times))
         times.append(seconds)
 
-    def _learn(self, worker: str, factor: float) -> None:
+    def _add_comparison(self, worker: str, factor: float) -> None:
         count, known = self._factors.get(worker, (0, 1.0))
         # One comparison can be far off, as when a task waited for its data.
         factor = min(MAX_FACTOR, max(1 / MAX_FACTOR, factor))
--- a/src/primrosestile/decisions/work/units.py
+++ b/src/primrosestile/decisions/work/units.py
@@ -163,16 +163,16 @@
     Attributes:
         ready_at: When it became possible to start it; None before.
         abandoned: Its current run is to end; members are being stopped.
-        failed_here: A failure of its current run was counted.
+        failure_counted: A failure of its current run was counted.
         failed_on: Workers on which a run of it failed.
         crashes: Workers that crashed under its tasks, by the task's position.
         isolating_since: Since when it waits for workers of its own.
         stall_restarts: Runs of it that were stopped because a member stalled.
         reserved_workers: Workers on which room is reserved for it.
         reserved_until: When they are expected to be free.
-        freed: Workers on which others were stopped for it, one for each member.
+        freed_workers: Workers on which others were stopped for it, one for each member.
         freed_until: Until when the room freed there is held for it.
-        freed_rounds: How often others were stopped for it since its last run.
+        eviction_count: How often others were stopped for it since its last run.
     """
 
     job: "Job"
@@ -185,16 +185,16 @@
     checkpoint: str = ""
     members: tuple[Member, ...] = ()
     abandoned: bool = False
-    failed_here: bool = False
+    failure_counted: bool = False
     failed_on: set[str] = field(default_factory=set)
     crashes: dict[int, CrashCount] = field(default_factory=dict)
     isolating_since: float | None = None
     stall_restarts: int = 0
     reserved_workers: tuple[str, ...] = ()
     reserved_until: float = 0.0
-    freed: tuple[str, ...] = ()
+    freed_workers: tuple[str, ...] = ()
     freed_until: float = 0.0
-    freed_rounds: int = 0
+    eviction_count: int = 0
 
     @property
     def size(self) -> int:
@@ -239,7 +239,7 @@
             failures=self.failures,
             workers=workers,
             checkpoint=self.checkpoint,
-            failure_counted=self.failed_here,
+            failure_counted=self.failure_counted,
             crashes=tuple(self.crashes.values()),
         )
 
