--- a/src/primrosestile/decisions/work/durations.py
+++ b/src/primrosestile/decisions/work/durations.py
@@ -3,7 +3,7 @@
 Load: callers whose estimates are off by up to nine tenths. Harm: the slack of a
 job, the time at which a worker becomes free, and what can be backfilled until then
 all depend on run times; with wrong ones, urgent jobs are taken for late and room is
-reserved for nothing. So for each queue the errors of the caller's estimate and of
+reserved without need. So for each queue the errors of the caller's estimate and of
 the mean observed run time are tracked, and the better one is used.
 """
 
@@ -15,15 +15,15 @@
 
 # The weight of a new run in the mean and in the errors: about the last ten runs of
 # a queue count, since the jobs that callers send change within a day.
-NEW_SHARE = 0.1
+NEW_RUN_WEIGHT = 0.1
 # Runs needed before the mean is used at all.
-FEWEST_RUNS = 3
-# Below this progress, in percent, a run says little about its speed.
-LEAST_PERCENT = 15.0
+MIN_RUNS = 3
+# Below this progress a run shows little about its speed.
+MIN_PROGRESS_PERCENT = 15.0
 
 
 @dataclass(slots=True)
-class Seen:
+class QueueRunTimes:
     """Statistics of one queue's runs.
 
     Attributes:
@@ -42,28 +42,30 @@
     """Run times by queue."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, Seen] = {}
+        self._run_times: dict[str, QueueRunTimes] = {}
 
     def learn(self, queue: str, estimate: float, seconds: float) -> None:
         """Add a complete run that succeeded."""
-        seen = self._seen.setdefault(queue, Seen())
-        share = max(NEW_SHARE, 1 / (seen.runs + 1))
-        if seen.runs:
-            seen.mean_error += share * (abs(seen.mean - seconds) - seen.mean_error)
-            seen.estimate_error += share * (
-                abs(estimate - seconds) - seen.estimate_error
+        run_times = self._run_times.setdefault(queue, QueueRunTimes())
+        share = max(NEW_RUN_WEIGHT, 1 / (run_times.runs + 1))
+        if run_times.runs:
+            run_times.mean_error += share * (
+                abs(run_times.mean - seconds) - run_times.mean_error
             )
-        seen.mean += share * (seconds - seen.mean)
-        seen.runs += 1
+            run_times.estimate_error += share * (
+                abs(estimate - seconds) - run_times.estimate_error
+            )
+        run_times.mean += share * (seconds - run_times.mean)
+        run_times.runs += 1
 
     def guess(self, queue: str, step: Step) -> float:
         """Return the expected run time of one task of a step, in seconds."""
-        seen = self._seen.get(queue)
-        if seen is None or seen.runs < FEWEST_RUNS:
+        run_times = self._run_times.get(queue)
+        if run_times is None or run_times.runs < MIN_RUNS:
             return step.estimate_seconds
-        if step.estimate_seconds and seen.estimate_error <= seen.mean_error:
+        if step.estimate_seconds and run_times.estimate_error <= run_times.mean_error:
             return step.estimate_seconds
-        return seen.mean
+        return run_times.mean
 
     def guess_unit(self, unit: Unit) -> float:
         """Return the expected run time of a unit's next run, in seconds."""
@@ -80,14 +82,14 @@
     def guess_left(self, member: Member, now: float) -> float:
         """Return a member's remaining seconds, by its progress if that is enough."""
         elapsed = now - (member.up_at or member.since)
-        if member.percent >= LEAST_PERCENT:
+        if member.percent >= MIN_PROGRESS_PERCENT:
             return elapsed * (100.0 - member.percent) / member.percent
         return max(0.0, self.guess_unit(member.unit) - elapsed)
 
-    def make_record(self) -> dict[str, Seen]:
+    def make_record(self) -> dict[str, QueueRunTimes]:
         """Return the statistics for the next owner."""
-        return dict(self._seen)
+        return dict(self._run_times)
 
-    def restore(self, record: Mapping[str, Seen]) -> None:
+    def restore(self, record: Mapping[str, QueueRunTimes]) -> None:
         """Load the statistics of an earlier owner."""
-        self._seen.update(record)
+        self._run_times.update(record)
--- a/src/primrosestile/decisions/work/evictions.py
+++ b/src/primrosestile/decisions/work/evictions.py
@@ -20,7 +20,7 @@
     list_racks,
     take_room,
 )
-from primrosestile.decisions.work.preemption import Eviction, find_cost, is_aged
+from primrosestile.decisions.work.preemption import Eviction, compute_cost, is_aged
 from primrosestile.decisions.work.units import MemberState, Unit
 from primrosestile.state.work import Need
 
@@ -59,7 +59,7 @@
     victims: tuple[Unit, ...]
 
 
-# Need, whether it is filling, whether it is lasting, priority, and whether entitled.
+# Need, whether it is best-effort, whether it is a daemon, priority, whether entitled.
 _OfferKey = tuple[Need, bool, bool, int, bool]
 # Free processor, memory and accelerators.
 _Figures = tuple[int, int, int]
@@ -70,7 +70,7 @@
 
     With 176 workers a pass examines tens of waiting units, each of which could get
     room on any of the workers. What may be stopped on a worker, and at which cost,
-    depends only on the gainer's priority, entitlement and whether it is lasting, so
+    depends only on the gainer's priority, entitlement and whether it is a daemon, so
     it is computed once for all gainers that agree in these.
     """
 
@@ -89,7 +89,7 @@
         # Offers by worker, each valid while the worker's free figures are unchanged.
         self._offers: dict[_OfferKey, dict[str, tuple[_Figures, _Offer | None]]] = {}
 
-    def note_stopped(self, units: Iterable[Unit]) -> None:
+    def drop_offers(self, units: Iterable[Unit]) -> None:
         """Drop the cached offers of the workers on which units were stopped."""
         names = {member.worker for unit in units for member in unit.members}
         for offers in self._offers.values():
@@ -177,18 +177,18 @@
             counts[member.unit] = counts.get(member.unit, 0) + 1
         late_stop_factor = find_late_stop_factor(worker, self.now)
         victims = [
-            _Candidate(unit, self._find_cost(unit) * late_stop_factor, count)
+            _Candidate(unit, self._compute_cost(unit) * late_stop_factor, count)
             for unit, count in counts.items()
         ]
         victims.sort(key=_get_cost)
         self._victims[name] = victims
         return victims
 
-    def _find_cost(self, unit: Unit) -> float:
+    def _compute_cost(self, unit: Unit) -> float:
         """Return the cost of a unit, cached for all workers that it is on."""
         cost = self._costs.get(unit)
         if cost is None:
-            cost = self._costs[unit] = find_cost(unit, self.now)
+            cost = self._costs[unit] = compute_cost(unit, self.now)
         return cost
 
 
@@ -221,14 +221,14 @@
             touched = {name}
             for victim in offer.victims:
                 touched |= self._stop(victim)
-            take_room(self.unit, self._own(name))
+            take_room(self.unit, self._copy_room(name))
             for each in touched:
                 offers[each] = self.make_offer(self.rooms[each])
         chosen = tuple(self._chosen.values())
         aged = any(is_aged(each, self._evictions.now) for each in chosen)
         return Eviction(chosen, cost, aged)
 
-    def _own(self, name: str) -> Room:
+    def _copy_room(self, name: str) -> Room:
         """Return a copy of a room that may be changed; the caller's is not changed."""
         if name not in self._changed:
             self._changed.add(name)
@@ -239,7 +239,7 @@
         """Count a unit as stopped; return the workers on which that frees room."""
         self._chosen[id(victim)] = victim
         touched = {member.worker for member in victim.members} & self.rooms.keys()
-        give_back(victim, {name: self._own(name) for name in touched})
+        give_back(victim, {name: self._copy_room(name) for name in touched})
         return touched
 
     def make_offer(self, room: Room) -> _Offer | None:
--- a/src/primrosestile/decisions/work/fleet_state.py
+++ b/src/primrosestile/decisions/work/fleet_state.py
@@ -43,8 +43,8 @@
     """The fleet's state; events change it, decisions read it.
 
     Attributes:
-        changed: Jobs whose records changed since the last `take_changed`.
-        gone: Members marked as gone since the last `take_gone`, and why.
+        changed: Jobs whose records changed since the last `pop_changed`.
+        gone: Members marked as gone since the last `pop_gone`, and why.
         crashes: Which tasks crash their workers.
     """
 
@@ -59,17 +59,17 @@
         # and for the records; a new owner may receive ends before its first pass.
         self.wall = wall
         # Ended incarnations of workers, and their addresses. The store lists them for
-        # some seconds more; without this, each reading of the list would take them for
-        # new and ask them again.
+        # some seconds more; without this, each read of the list would add them as new
+        # and poll them again.
         self._ended: dict[str, str] = {}
         # Addresses at which workers have answered an earlier owner, by name, from the
         # records. An owner only starts runs on workers that have answered it.
         self.verified: dict[str, str] = {}
         # Members on workers without an entry, by worker; only time shows that they are
-        # gone, unless the worker has a verified address to ask.
+        # gone, unless the worker has a verified address to poll.
         self.unlisted_members: dict[str, list[Member]] = {}
 
-    def take_policy(self, policy: Policy) -> None:
+    def apply_policy(self, policy: Policy) -> None:
         """Apply a newer version; a job whose queue was removed keeps its settings."""
         self.policy = policy
         for job in self.jobs.values():
@@ -110,7 +110,7 @@
         unit.run = record.run
         unit.failures = record.failures
         unit.checkpoint = record.checkpoint
-        unit.failed_here = record.failure_counted
+        unit.failure_counted = record.failure_counted
         unit.crashes = {each.position: each for each in record.crashes}
         if unit.phase is Phase.ORDERED:
             unit.abandoned = record.failure_counted
@@ -127,10 +127,10 @@
         unit.phase = Phase.ORDERED
         unit.run += 1
         unit.abandoned = False
-        unit.failed_here = False
+        unit.failure_counted = False
         unit.reserved_workers = ()
-        unit.freed = ()
-        unit.freed_rounds = 0
+        unit.freed_workers = ()
+        unit.eviction_count = 0
         unit.isolating_since = None
         self.place_members(unit, workers, now)
         self.changed.add(unit.job)
@@ -177,9 +177,10 @@
     def list_unlisted_workers(self) -> list[WorkerEntry]:
         """Return bare entries for workers that are in records but not in the list.
 
-        They take no new work, but can be asked where they have answered before.
-        Otherwise what runs there would lose the lease that the former owner gave, and
-        what ended with its worker would be waited for until that lease is over.
+        They take no new work, but can be polled where they have answered before.
+        Otherwise the lease that the former owner extended would lapse for what runs
+        there, and what ended with its worker would be waited for until that lease is
+        over.
         """
         return [
             make_bare_entry(name, self.verified[name])
@@ -205,7 +206,7 @@
         """Whether an entry is that of an incarnation that is known to have ended."""
         return self._ended.get(entry.worker) == entry.address
 
-    def forget_ended(self, present: Collection[str]) -> None:
+    def remove_ended(self, present: Collection[str]) -> None:
         """Remove ended incarnations that are no longer in the list."""
         for name in [name for name in self._ended if name not in present]:
             del self._ended[name]
@@ -213,7 +214,7 @@
     def clear_worker(
         self, worker: Worker, proof: Proof, now: float, refuses: bool = False
     ) -> None:
-        """Mark all members on a worker as gone; the worker may come back.
+        """Mark all members on a worker as gone; the worker may answer again.
 
         Args:
             worker: Whose lease is over.
@@ -261,15 +262,15 @@
         if checkpoint:
             unit.checkpoint = checkpoint
         if kind is EndKind.DONE and not unit.step.daemon:
-            self._note_done(unit)
+            self._record_success(unit)
         elif kind is EndKind.FAILED:
-            self._note_failed(unit, member.worker)
+            self._record_failure(unit, member.worker)
         elif unit.phase is Phase.ORDERED:
             unit.abandoned = True
         self.changed.add(unit.job)
         self.note_gone(member, Proof.ENDED)
 
-    def _note_done(self, unit: Unit) -> None:
+    def _record_success(self, unit: Unit) -> None:
         if unit.phase is not Phase.ORDERED:
             return
         unit.phase = Phase.DONE
@@ -284,15 +285,15 @@
             return False
         return all(unit.phase is Phase.DONE for unit in job.units.values())
 
-    def _note_failed(self, unit: Unit, worker: str) -> None:
+    def _record_failure(self, unit: Unit, worker: str) -> None:
         """Count one failure per run, however many members of a gang report it."""
         if unit.phase is not Phase.ORDERED:
             return
         unit.abandoned = True
         unit.failed_on.add(worker)
-        if unit.failed_here:
+        if unit.failure_counted:
             return
-        unit.failed_here = True
+        unit.failure_counted = True
         unit.failures += 1
         if unit.step.daemon or unit.failures < unit.job.queue.attempts:
             return
@@ -408,13 +409,13 @@
             ),
         }
 
-    def take_gone(self) -> list[tuple[Member, Proof]]:
+    def pop_gone(self) -> list[tuple[Member, Proof]]:
         """Return the members marked as gone since the last call, and why."""
         gone = self.gone
         self.gone = []
         return gone
 
-    def take_changed(self) -> set[Job]:
+    def pop_changed(self) -> set[Job]:
         """Return the jobs whose records must be written, and clear the set."""
         changed = self.changed
         self.changed = set()
--- a/src/primrosestile/decisions/work/plan.py
+++ b/src/primrosestile/decisions/work/plan.py
@@ -1,4 +1,7 @@
-"""One pass over all waiting units: what starts where, and what is stopped for it."""
+"""One pass over all waiting units: what starts where, and what is stopped for it.
+
+The pass examines the most urgent units first, within a bound on its duration.
+"""
 
 from dataclasses import dataclass
 
@@ -12,7 +15,7 @@
     begin_stopping,
     find_freed_workers,
     hold_freed_room,
-    note_stopping,
+    record_stopping,
 )
 from primrosestile.decisions.work.mechanisms import Mechanisms, make_mechanisms
 from primrosestile.decisions.work.placement import (
@@ -61,7 +64,7 @@
 
     Attributes:
         cost: Wasted core-seconds of all units stopped for the gainer in this pass.
-        again: Work was stopped for the gainer before, and it did not start.
+        again: Work was stopped for the gainer before, but it has not started.
     """
 
     unit: Unit
@@ -117,7 +120,7 @@
         self.rooms = make_rooms(fleet_state, now)
         self.waiting = fleet_state.list_waiting(now)
         _mark_reserved(self.waiting, self.rooms)
-        note_stopping(fleet_state, now)
+        record_stopping(fleet_state, now)
         self.future_rooms = add_stopping(fleet_state, self.rooms, now)
         self.holds = Holds((self.rooms, self.future_rooms), now)
         self.starts: list[Assignment] = []
@@ -131,7 +134,9 @@
         self.holds.hold(self.waiting)
         self._restart_stalled()
         held = [
-            each for each in self.waiting if each.freed and not self._is_entitled(each)
+            each
+            for each in self.waiting
+            if each.freed_workers and not self._is_entitled(each)
         ]
         # Units of one step are alike: if one can't start, none of the others can.
         waiting: set[tuple[object, ...]] = set()
@@ -266,7 +271,7 @@
         """Take room that is being freed for a unit, or have more freed."""
         workers = find_freed_workers(unit, self.future_rooms, self.now)
         if workers is None:
-            unit.freed = ()
+            unit.freed_workers = ()
             workers = self._place(unit, self.future_rooms)
         if workers is None:
             eviction = self.evictions.find(unit, self.future_rooms)
@@ -275,14 +280,14 @@
             seconds = self.durations.guess_unit(unit)
             if not is_affordable(eviction, unit, rank.entitled, seconds):
                 return False
-            again = unit.freed_rounds > 0
-            unit.freed_rounds += 1
+            again = unit.eviction_count > 0
+            unit.eviction_count += 1
             for victim in eviction.units:
                 self.stops.append(Stop(victim, unit, eviction.cost, again))
                 self.fleet_state.abandon(victim)
                 begin_stopping(victim, self.now)
                 give_back(victim, self.future_rooms)
-            self.evictions.note_stopped(eviction.units)
+            self.evictions.drop_offers(eviction.units)
             workers = self._place(unit, self.future_rooms)
             if workers is not None:
                 hold_freed_room(unit, (worker.name for worker in workers), self.now)
