--- a/features/doubles/cells.py
+++ b/features/doubles/cells.py
@@ -88,7 +88,7 @@
 class NoOtherCell:
     """Reports no cell that a waiting job could be moved to."""
 
-    def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
+    def list_summaries(self, organisation: str, shape: Shape) -> list[CellSummary]:
         return []
 
     def note_handed(self, cell: str, accelerators: int) -> None:
--- a/features/steps/joining_steps.py
+++ b/features/steps/joining_steps.py
@@ -20,7 +20,7 @@
 from primrosestile.coordination.cellwatch import CellWatch
 from primrosestile.coordination.claims import Claims
 from primrosestile.coordination.dispatch import Dispatcher
-from primrosestile.coordination.exchange import Exchange
+from primrosestile.coordination.exchange import DigestExchange
 from primrosestile.coordination.gangs import Command
 from primrosestile.coordination.membership import PROCESSES_PREFIX, Directory
 from primrosestile.decisions.request_queue import QueuedRequest, make_queue
@@ -143,7 +143,9 @@
     async def start_owner(self) -> None:
         """Run every cell, until entries may be granted slots."""
         directory = Directory(self.store)
-        exchange = Exchange("placer", self.peers, directory, lambda: self.settings)
+        exchange = DigestExchange(
+            "placer", self.peers, directory, lambda: self.settings
+        )
         for cell in self.settings.fleet.cells:
             workers = cast(Workers, IdleWorkers())
             command = Command(
--- a/src/primrosestile/coordination/cellwatch.py
+++ b/src/primrosestile/coordination/cellwatch.py
@@ -172,8 +172,8 @@
         """Note a job that was handed to a cell."""
         self._table.note_handed(cell, accelerators)
 
-    def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
+    def list_summaries(self, organisation: str, shape: Shape) -> list[CellSummary]:
         """Return what is known of each cell that could ever hold the shape."""
-        return self._table.list_pictures(
+        return self._table.list_summaries(
             self._read_settings(), organisation, shape, FRESH_SECONDS
         )
--- a/src/primrosestile/coordination/exchange.py
+++ b/src/primrosestile/coordination/exchange.py
@@ -89,7 +89,7 @@
                 used.update(known.digest.used)
         return used
 
-    def list_pictures(
+    def list_summaries(
         self, settings: Settings, organisation: str, shape: Shape, seconds: float
     ) -> list[CellSummary]:
         """Return what is known of each cell that could ever hold the shape.
@@ -135,7 +135,7 @@
     )
 
 
-class Exchange:
+class DigestExchange:
     """Requests digests from the other placers, and finds lost failure domains."""
 
     def __init__(
@@ -154,7 +154,7 @@
         self._seconds = EXCHANGE_SECONDS
         self._empty_since: dict[str, float] = {}
 
-    def speak_for(self, read_own: Callable[[], list[CellDigest]]) -> None:
+    def set_own_digests(self, read_own: Callable[[], list[CellDigest]]) -> None:
         """Set the source of the digests of this process's own cells."""
         self._read_own = read_own
 
@@ -211,9 +211,9 @@
             working[domain] = working.get(domain, False) or works
         return working
 
-    def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
+    def list_summaries(self, organisation: str, shape: Shape) -> list[CellSummary]:
         """Return what is known of each cell that could ever hold a shape."""
-        return self.table.list_pictures(
+        return self.table.list_summaries(
             self._read_settings(), organisation, shape, self._fresh_seconds
         )
 
--- a/src/primrosestile/coordination/placing.py
+++ b/src/primrosestile/coordination/placing.py
@@ -50,7 +50,7 @@
 class OtherCells(Protocol):
     """What is known of the other cells."""
 
-    def list_pictures(self, organisation: str, shape: Shape) -> list[CellSummary]:
+    def list_summaries(self, organisation: str, shape: Shape) -> list[CellSummary]:
         """Return the cells that could ever hold a shape, this one included."""
         ...
 
@@ -197,7 +197,7 @@
         if self._moves_left <= 0:
             return
         shape = record.spec.shape
-        summaries = self._other_cells.list_pictures(record.spec.organisation, shape)
+        summaries = self._other_cells.list_summaries(record.spec.organisation, shape)
         here = next((each for each in summaries if each.cell == self._data.name), None)
         others = [each for each in summaries if each.cell != self._data.name]
         if here is None:
--- a/src/primrosestile/programs/entryapp.py
+++ b/src/primrosestile/programs/entryapp.py
@@ -168,7 +168,7 @@
         request_id = _read_request_id(request)
         check_request_id(request_id, caller.job_class.idempotent)
         shape = check_job(body, caller)
-        summaries = self._parts.cells.list_pictures(caller.team.organisation, shape)
+        summaries = self._parts.cells.list_summaries(caller.team.organisation, shape)
         cell = choose_cell(summaries, shape)
         if cell is None:
             raise Failure(
--- a/src/primrosestile/programs/parts.py
+++ b/src/primrosestile/programs/parts.py
@@ -99,8 +99,8 @@
     messages = MessageTable(settings.vm, lambda: registration.record.leaving)
     directory = Directory(store)
     peers = make_peers(settings.name, settings.peer, settings.peer_keys)
-    place = Place(settings.name, settings.failure_domain, settings.seeds)
-    relay = make_relay(follower, peers, directory.records, place)
+    identity = Place(settings.name, settings.failure_domain, settings.seeds)
+    relay = make_relay(follower, peers, directory.records, identity)
     relay.add_handlers(messages)
     return Parts(
         settings=settings,
--- a/src/primrosestile/programs/placer.py
+++ b/src/primrosestile/programs/placer.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 
 from primrosestile.coordination.caretaking import Caretaker
-from primrosestile.coordination.exchange import Exchange
+from primrosestile.coordination.exchange import DigestExchange
 from primrosestile.coordination.ownership import Ownership
 from primrosestile.coordination.vmwatch import VmWatch
 from primrosestile.programs.common import (
@@ -42,7 +42,7 @@
     parts: Parts
     workers: HttpWorkers
     ownership: Ownership
-    exchange: Exchange
+    exchange: DigestExchange
     vms: VmWatch
     caretaker: Caretaker
 
@@ -51,7 +51,7 @@
     """Build a placer whose parts follow the settings in force."""
     parts = make_parts(settings, PROGRAM, metrics)
     workers = make_workers(AddressBook(parts.follower).find)
-    exchange = Exchange(
+    exchange = DigestExchange(
         settings.name, parts.peers, parts.directory, lambda: parts.follower.settings
     )
     ownership = Ownership(
@@ -63,7 +63,7 @@
         settings.task_lease_seconds,
         exchange,
     )
-    exchange.speak_for(lambda: _list_digests(ownership))
+    exchange.set_own_digests(lambda: _list_digests(ownership))
     parts.follower.add_handler(ownership.take_settings)
     caretaker = Caretaker(
         settings.name,
@@ -162,7 +162,7 @@
     return [each.make_digest("") for each in keepers if each.recovered.is_set()]
 
 
-async def _report_lost_domains(exchange: Exchange, ownership: Ownership) -> None:
+async def _report_lost_domains(exchange: DigestExchange, ownership: Ownership) -> None:
     while True:
         await asyncio.sleep(LOST_CHECK_INTERVAL_SECONDS)
         lost = exchange.list_lost_domains()
