--- a/features/doubles/cells.py
+++ b/features/doubles/cells.py
@@ -16,9 +16,9 @@
 )
 from features.doubles.processes import PausedRunner, Running, SimulatedProcess
 
-from primrosestile.coordination.caretaking import Caretaker
+from primrosestile.coordination.caretaker import Caretaker
 from primrosestile.coordination.claims import Claims
-from primrosestile.coordination.jobbook import decode_job, make_job_key
+from primrosestile.coordination.job_table import decode_job, make_job_key
 from primrosestile.coordination.membership import (
     Directory,
     ProcessLease,
@@ -26,7 +26,7 @@
 )
 from primrosestile.coordination.ownership import Ownership
 from primrosestile.coordination.submission import Submission, Submissions
-from primrosestile.coordination.vmwatch import VmWatch
+from primrosestile.coordination.vm_watch import VmWatch
 from primrosestile.decisions.cell_selection import CellSummary
 from primrosestile.errors import Failure
 from primrosestile.protocol.workers import TaskReport
@@ -138,7 +138,7 @@
         self.process.main = self.process.start(self._run())
 
     async def _own(self) -> None:
-        await self.vms.looked.wait()
+        await self.vms.first_read.wait()
         await self.ownership.run()
 
     async def _run(self) -> None:
--- a/features/doubles/operators.py
+++ b/features/doubles/operators.py
@@ -7,13 +7,13 @@
 from features.doubles.network import FaultyStore, Link
 from features.doubles.processes import PausedRunner, SimulatedProcess
 
-from primrosestile.coordination.follower import SettingsFollower, make_follower
-from primrosestile.coordination.settingstore import (
+from primrosestile.coordination.setting_store import (
     decode_stored,
     make_setting_key,
     put_setting,
     read_setting,
 )
+from primrosestile.coordination.settings_follower import SettingsFollower, make_follower
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Entry
 from primrosestile.state.settings import SETTINGS_PREFIX
--- a/features/doubles/requests.py
+++ b/features/doubles/requests.py
@@ -15,7 +15,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.claims import Claims
-from primrosestile.coordination.dispatch import Dispatcher
+from primrosestile.coordination.dispatcher import Dispatcher
 from primrosestile.coordination.membership import (
     Directory,
     ProcessLease,
--- a/features/doubles/slots.py
+++ b/features/doubles/slots.py
@@ -5,7 +5,7 @@
 from features.doubles.processes import PausedRunner
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.turns import SlotAssigner
+from primrosestile.coordination.slot_assigner import SlotAssigner
 from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import Outcome, make_router
 from primrosestile.state.tenancy import Policy, Urgency
--- a/features/settings/doubles.py
+++ b/features/settings/doubles.py
@@ -9,7 +9,7 @@
 import looptime
 import msgspec
 
-from primrosestile.coordination.settingstore import put_setting
+from primrosestile.coordination.setting_store import put_setting
 from primrosestile.decisions.settings_parts import split_document
 from primrosestile.state.settings import Settings
 from primrosestile_standin.store import MemoryStore
--- a/features/settings/relayworld.py
+++ b/features/settings/relayworld.py
@@ -6,9 +6,9 @@
 
 from features.settings.doubles import ACTOR, encode_text
 
-from primrosestile.coordination.follower import SettingsFollower, make_follower
-from primrosestile.coordination.relay import Place, Relay, make_relay
-from primrosestile.coordination.settingstore import put_setting
+from primrosestile.coordination.setting_store import put_setting
+from primrosestile.coordination.settings_follower import SettingsFollower, make_follower
+from primrosestile.coordination.settings_relay import Relay, RelayIdentity, make_relay
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.messages import Body, Envelope
 from primrosestile.state.jobs import ProcessRecord
@@ -35,7 +35,7 @@
         )
         self.follower.add_handler(self.check)
         self.highest: dict[str, int] = {}
-        identity = Place(self.name, self.domain, seeds)
+        identity = RelayIdentity(self.name, self.domain, seeds)
         self.relay: Relay = make_relay(
             self.follower, self, world.list_records, identity, random.Random(number)
         )
--- a/features/settings/stewardworld.py
+++ b/features/settings/stewardworld.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 from features.settings.doubles import make_loaded_store
 
-from primrosestile.coordination.follower import make_follower
 from primrosestile.coordination.membership import Directory
+from primrosestile.coordination.settings_follower import make_follower
 from primrosestile.programs.stewardapp import make_steward_app
 from primrosestile.state.jobs import ProcessRecord
 from primrosestile.transport.connections import Connections
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -15,7 +15,7 @@
 from features.settings.stewardworld import StewardWorld
 from typer.testing import CliRunner
 
-from primrosestile.coordination.settingstore import decode_stored
+from primrosestile.coordination.setting_store import decode_stored
 from primrosestile.errors import ANSWERS, ErrorKind, Failure, Ran
 from primrosestile.programs import cli
 from primrosestile.programs.cliclient import TOKEN_VARIABLE
--- a/features/steps/coordination_steps.py
+++ b/features/steps/coordination_steps.py
@@ -9,8 +9,8 @@
 from behave import then, when
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.sending import RequestSender
-from primrosestile.coordination.turns import SlotAssigner
+from primrosestile.coordination.request_sender import RequestSender
+from primrosestile.coordination.slot_assigner import SlotAssigner
 from primrosestile.decisions.request_queue import QueuedRequest, make_queue
 from primrosestile.decisions.routing import make_router
 from primrosestile.protocol.workers import RequestAnswer, RequestOrder
--- a/features/steps/follower_steps.py
+++ b/features/steps/follower_steps.py
@@ -19,13 +19,13 @@
 from tools.bench.fleets import make_settings
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.follower import SettingsFollower, make_follower
-from primrosestile.coordination.settingstore import (
+from primrosestile.coordination.setting_store import (
     decode_stored,
     encode_stored,
     make_setting_key,
     put_setting,
 )
+from primrosestile.coordination.settings_follower import SettingsFollower, make_follower
 from primrosestile.decisions.settings_check import check_raw
 from primrosestile.decisions.settings_parts import list_load_steps
 from primrosestile.decisions.settings_view import SettingsView
@@ -188,7 +188,7 @@
         return follower
 
     follower = run_paused(read())
-    assert follower.left_out == ()
+    assert follower.excluded_workers == ()
     assert follower.settings.fleet == context.large.fleet
     assert follower.settings.guarantees == context.large.guarantees
     assert follower.settings.policy == context.large.policy
@@ -218,7 +218,7 @@
             grouped = [each for found in view.workers_in.values() for each in found]
             assert len(grouped) == len(fleet.workers)
         assert follower.settings.fleet == example
-        assert follower.left_out == ()
+        assert follower.excluded_workers == ()
 
     check()
 
--- a/features/steps/jobbook_steps.py
+++ b/features/steps/jobbook_steps.py
@@ -8,8 +8,8 @@
 from behave import given, then, when
 from features.settings.doubles import run_paused
 
-from primrosestile.coordination.cellpage import find_completion
-from primrosestile.coordination.jobbook import JobTable, make_job_key
+from primrosestile.coordination.cell_page import find_completion
+from primrosestile.coordination.job_table import JobTable, make_job_key
 from primrosestile.protocol.store import Entry, SwapResult
 from primrosestile.state.jobs import JobRecord, JobSpec, JobState, Member
 from primrosestile.state.tenancy import Shape, Urgency
--- a/features/steps/joining_steps.py
+++ b/features/steps/joining_steps.py
@@ -17,10 +17,10 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.cell import CellKeeper
-from primrosestile.coordination.cellwatch import CellWatch
+from primrosestile.coordination.cell_watch import CellWatch
 from primrosestile.coordination.claims import Claims
-from primrosestile.coordination.dispatch import Dispatcher
-from primrosestile.coordination.exchange import DigestExchange
+from primrosestile.coordination.digest_exchange import DigestExchange
+from primrosestile.coordination.dispatcher import Dispatcher
 from primrosestile.coordination.gangs import Command
 from primrosestile.coordination.membership import PROCESSES_PREFIX, Directory
 from primrosestile.decisions.request_queue import QueuedRequest, make_queue
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -14,8 +14,8 @@
 )
 from hypothesis import given as for_all, settings as fuzz_settings, strategies as st
 
-from primrosestile.coordination.follower import make_follower
-from primrosestile.coordination.settingstore import encode_stored
+from primrosestile.coordination.setting_store import encode_stored
+from primrosestile.coordination.settings_follower import make_follower
 from primrosestile.decisions.settings_change import check_change
 from primrosestile.decisions.settings_check import check_document
 from primrosestile.decisions.settings_parts import list_load_steps, split_document
@@ -253,7 +253,7 @@
             assert faults == (), (path, faults)
             stored[path] = value
             put_values(follower, [(path, value)], revision)
-            assert follower.left_out == ()
+            assert follower.excluded_workers == ()
         wanted = msgspec.convert(document, Settings).fleet
         assert set(follower.settings.fleet.workers) == set(wanted.workers)
         assert follower.settings.fleet.racks == wanted.racks
--- a/features/steps/settingstore_steps.py
+++ b/features/steps/settingstore_steps.py
@@ -17,13 +17,13 @@
 )
 
 from primrosestile.coordination.audit import read_history
-from primrosestile.coordination.follower import make_follower
-from primrosestile.coordination.settingstore import (
+from primrosestile.coordination.setting_store import (
     encode_stored,
     make_setting_key,
     put_setting,
     read_setting,
 )
+from primrosestile.coordination.settings_follower import make_follower
 from primrosestile.decisions.settings_change import check_change
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import SwapResult
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -10,7 +10,7 @@
 from features.settings.doubles import ACTOR, encode_text, read_example_settings
 from features.settings.stewardworld import StewardWorld
 
-from primrosestile.coordination.settingstore import put_setting, read_setting
+from primrosestile.coordination.setting_store import put_setting, read_setting
 from primrosestile.errors import ANSWERS, ErrorKind
 from primrosestile.protocol.store import Entry
 from primrosestile.state.jobs import (
--- a/src/primrosestile/coordination/actions.py
+++ b/src/primrosestile/coordination/actions.py
@@ -13,7 +13,7 @@
 import structlog
 
 from primrosestile.clock import read_clock, read_wall_clock
-from primrosestile.coordination.celldata import (
+from primrosestile.coordination.cell_data import (
     CellData,
     make_class_key,
     make_holding,
--- a/src/primrosestile/coordination/audit.py
+++ b/src/primrosestile/coordination/audit.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from primrosestile.coordination.settingstore import (
+from primrosestile.coordination.setting_store import (
     decode_entry,
     make_audit_key,
     make_audit_prefix,
--- a/src/primrosestile/coordination/cell.py
+++ b/src/primrosestile/coordination/cell.py
@@ -9,14 +9,14 @@
 
 from primrosestile.clock import read_clock, read_wall_clock
 from primrosestile.coordination.actions import JobActions
-from primrosestile.coordination.celldata import CellData, Contact
-from primrosestile.coordination.cellpage import CellPage, describe_cell
-from primrosestile.coordination.following import WorkerPoller
+from primrosestile.coordination.cell_data import CellData, Contact
+from primrosestile.coordination.cell_page import CellPage, describe_cell
+from primrosestile.coordination.cell_placement import CellPlacement, OtherCells
 from primrosestile.coordination.gangs import Command, go_gang
-from primrosestile.coordination.jobbook import JobTable
-from primrosestile.coordination.placing import CellPlacement, OtherCells
-from primrosestile.coordination.reconciling import Recovery, decide_recovery
-from primrosestile.coordination.slotsharing import SlotGrants
+from primrosestile.coordination.job_table import JobTable
+from primrosestile.coordination.recovery import Recovery, decide_recovery
+from primrosestile.coordination.slot_grants import SlotGrants
+from primrosestile.coordination.worker_poller import WorkerPoller
 from primrosestile.decisions.cell import CellView
 from primrosestile.decisions.quarantine import make_ledger
 from primrosestile.decisions.run_times import RunTimes
--- a/src/primrosestile/coordination/celldata.py
+++ b/src/primrosestile/coordination/cell_data.py
@@ -11,7 +11,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.gangs import Command
-from primrosestile.coordination.jobbook import JobTable
+from primrosestile.coordination.job_table import JobTable
 from primrosestile.decisions.cell import CellView, Demand, Holding
 from primrosestile.decisions.quarantine import FailureLedger
 from primrosestile.decisions.run_times import RunTimes
--- a/src/primrosestile/coordination/cellpage.py
+++ b/src/primrosestile/coordination/cell_page.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from statistics import median
 
-from primrosestile.coordination.celldata import CellData
-from primrosestile.coordination.jobbook import JobTable
+from primrosestile.coordination.cell_data import CellData
+from primrosestile.coordination.job_table import JobTable
 from primrosestile.decisions.fragmentation import measure_fragmentation
 from primrosestile.state.jobs import JobState, Member, Reason
 
--- a/src/primrosestile/coordination/placing.py
+++ b/src/primrosestile/coordination/cell_placement.py
@@ -14,9 +14,9 @@
 
 from primrosestile.clock import read_clock, read_wall_clock
 from primrosestile.coordination.actions import JobActions, make_reason
-from primrosestile.coordination.celldata import CellData, make_demand, make_holding
-from primrosestile.coordination.shifting import find_destination, move_job
-from primrosestile.coordination.upkeep import Housekeeping
+from primrosestile.coordination.cell_data import CellData, make_demand, make_holding
+from primrosestile.coordination.housekeeping import Housekeeping
+from primrosestile.coordination.job_moves import find_destination, move_job
 from primrosestile.decisions.backfill import order_demands
 from primrosestile.decisions.cell import Demand, Holding
 from primrosestile.decisions.cell_selection import CellSummary
--- a/src/primrosestile/coordination/cellwatch.py
+++ b/src/primrosestile/coordination/cell_watch.py
@@ -11,10 +11,10 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.dispatch import Dispatcher
-from primrosestile.coordination.exchange import DigestTable
+from primrosestile.coordination.digest_exchange import DigestTable
+from primrosestile.coordination.dispatcher import Dispatcher
 from primrosestile.coordination.membership import Directory
-from primrosestile.coordination.vmwatch import VmWatch
+from primrosestile.coordination.vm_watch import VmWatch
 from primrosestile.decisions.cell_selection import CellSummary
 from primrosestile.decisions.locality import select_local, select_local_targets
 from primrosestile.decisions.settings_view import SettingsView, view_settings
--- a/src/primrosestile/coordination/claimed.py
+++ b/src/primrosestile/coordination/claimed_requests.py
@@ -13,8 +13,8 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.claims import Claims, HeldClaim, compute_fingerprint
-from primrosestile.coordination.sending import RequestSender
-from primrosestile.coordination.turns import SlotAssigner
+from primrosestile.coordination.request_sender import RequestSender
+from primrosestile.coordination.slot_assigner import SlotAssigner
 from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.decisions.routing import Outcome
 from primrosestile.errors import ErrorKind, Failure
--- a/src/primrosestile/coordination/claims.py
+++ b/src/primrosestile/coordination/claims.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from primrosestile.clock import read_clock, read_wall_clock
-from primrosestile.coordination.writing import put_settled
+from primrosestile.coordination.settled_writes import put_settled
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Entry, Store
 from primrosestile.state.jobs import CLAIMS_PREFIX, Claim, ClaimState
--- a/src/primrosestile/coordination/dispatch.py
+++ b/src/primrosestile/coordination/dispatcher.py
@@ -6,10 +6,10 @@
 """
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.claimed import ClaimedRequests
+from primrosestile.coordination.claimed_requests import ClaimedRequests
 from primrosestile.coordination.claims import Claims
-from primrosestile.coordination.sending import RequestSender
-from primrosestile.coordination.turns import SlotAssigner, TargetCounts
+from primrosestile.coordination.request_sender import RequestSender
+from primrosestile.coordination.slot_assigner import SlotAssigner, TargetCounts
 from primrosestile.decisions.request_queue import QueuedRequest, RequestQueue
 from primrosestile.decisions.routing import Router
 from primrosestile.errors import ErrorKind, Failure
@@ -86,7 +86,7 @@
                 raise _choose_reported_failure(last, unknown)
             tried |= {target}
 
-    async def finish_settling(self) -> None:
+    async def finish_claims(self) -> None:
         """Wait until the claims of answered requests are written."""
         await self._claimed.settler.finish()
 
--- a/src/primrosestile/coordination/upkeep.py
+++ b/src/primrosestile/coordination/housekeeping.py
@@ -8,8 +8,8 @@
 
 from primrosestile.clock import read_clock, read_wall_clock
 from primrosestile.coordination.actions import JobActions
-from primrosestile.coordination.celldata import CellData
-from primrosestile.coordination.shifting import finish_move
+from primrosestile.coordination.cell_data import CellData
+from primrosestile.coordination.job_moves import finish_move
 from primrosestile.decisions.defragmentation import INTERVAL_SECONDS, find_move
 from primrosestile.protocol.store import Store
 from primrosestile.state.jobs import JobRecord, JobState, ReasonCode
--- a/src/primrosestile/coordination/shifting.py
+++ b/src/primrosestile/coordination/job_moves.py
@@ -16,10 +16,10 @@
 
 from primrosestile.clock import read_wall_clock
 from primrosestile.coordination.actions import make_reason
-from primrosestile.coordination.celldata import CellData
-from primrosestile.coordination.jobbook import make_job_key
+from primrosestile.coordination.cell_data import CellData
+from primrosestile.coordination.job_table import make_job_key
+from primrosestile.coordination.settled_writes import put_settled
 from primrosestile.coordination.submission import make_job_id
-from primrosestile.coordination.writing import put_settled
 from primrosestile.decisions.cell_selection import (
     MOVE_COOLDOWN_SECONDS,
     CellSummary,
--- a/src/primrosestile/coordination/jobbook.py
+++ b/src/primrosestile/coordination/job_table.py
@@ -15,7 +15,7 @@
 import msgspec
 import structlog
 
-from primrosestile.coordination.writing import (
+from primrosestile.coordination.settled_writes import (
     delete_settled,
     list_all,
     put_settled,
--- a/src/primrosestile/coordination/membership.py
+++ b/src/primrosestile/coordination/membership.py
@@ -15,7 +15,7 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.writing import list_all, put_settled
+from primrosestile.coordination.settled_writes import list_all, put_settled
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Change, Store
 from primrosestile.state.jobs import ProcessRecord
--- a/src/primrosestile/coordination/ownertable.py
+++ b/src/primrosestile/coordination/owner_table.py
@@ -7,7 +7,7 @@
 import msgspec
 import structlog
 
-from primrosestile.coordination.writing import list_all
+from primrosestile.coordination.settled_writes import list_all
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Change, Entry, Store
 from primrosestile.state.jobs import CellOwner
--- a/src/primrosestile/coordination/ownership.py
+++ b/src/primrosestile/coordination/ownership.py
@@ -19,16 +19,16 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.cell import CellKeeper
+from primrosestile.coordination.cell_placement import OtherCells
 from primrosestile.coordination.gangs import Command
 from primrosestile.coordination.membership import Directory, ProcessLease
-from primrosestile.coordination.ownertable import (
+from primrosestile.coordination.owner_table import (
     CELLS_PREFIX,
     CellOwnership,
     OwnerTable,
     decode_owned,
 )
-from primrosestile.coordination.placing import OtherCells
-from primrosestile.coordination.writing import delete_settled, put_settled
+from primrosestile.coordination.settled_writes import delete_settled, put_settled
 from primrosestile.decisions.locality import rank_placers
 from primrosestile.decisions.settings_view import view_settings
 from primrosestile.errors import Failure
--- a/src/primrosestile/coordination/sending.py
+++ b/src/primrosestile/coordination/request_sender.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.turns import SlotAssigner
+from primrosestile.coordination.slot_assigner import SlotAssigner
 from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.decisions.routing import Outcome
 from primrosestile.errors import ErrorKind, Failure
--- a/src/primrosestile/coordination/follower.py
+++ b/src/primrosestile/coordination/settings_follower.py
@@ -16,8 +16,8 @@
 import msgspec
 import structlog
 
-from primrosestile.coordination.settingstore import decode_stored, encode_stored
-from primrosestile.coordination.writing import list_all
+from primrosestile.coordination.setting_store import decode_stored, encode_stored
+from primrosestile.coordination.settled_writes import list_all
 from primrosestile.decisions.settings_parts import ExcludedWorker, assemble_fleet
 from primrosestile.errors import Failure
 from primrosestile.protocol.store import Change, Store
@@ -80,7 +80,7 @@
         return self._settings
 
     @property
-    def left_out(self) -> tuple[ExcludedWorker, ...]:
+    def excluded_workers(self) -> tuple[ExcludedWorker, ...]:
         """Stored workers that are ignored, since they do not fit the fleet."""
         return self._excluded_workers
 
@@ -128,14 +128,15 @@
         return True
 
     def _assemble_fleet(self) -> None:
-        fleet, left_out = assemble_fleet(self._fleet, self._workers)
+        fleet, excluded_workers = assemble_fleet(self._fleet, self._workers)
         self._settings = replace(self._settings, fleet=fleet)
-        if left_out and left_out != self._excluded_workers:
+        if excluded_workers and excluded_workers != self._excluded_workers:
             shown = [
-                f"{each.path}[{each.index}]" for each in left_out[:MAX_LOGGED_WORKERS]
+                f"{each.path}[{each.index}]"
+                for each in excluded_workers[:MAX_LOGGED_WORKERS]
             ]
-            log.warning("workers_left_out", count=len(left_out), first=shown)
-        self._excluded_workers = left_out
+            log.warning("workers_left_out", count=len(excluded_workers), first=shown)
+        self._excluded_workers = excluded_workers
 
     @property
     def is_ready(self) -> bool:
--- a/src/primrosestile/coordination/relay.py
+++ b/src/primrosestile/coordination/settings_relay.py
@@ -18,8 +18,8 @@
 import structlog
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.answering import MessageTable
-from primrosestile.coordination.follower import SettingsFollower
+from primrosestile.coordination.message_table import MessageTable
+from primrosestile.coordination.settings_follower import SettingsFollower
 from primrosestile.decisions.watchers import choose_watchers
 from primrosestile.errors import Failure
 from primrosestile.protocol.messages import (
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class RelayIdentity:
     """The identity of a process among its peers.
 
     Attributes:
@@ -78,7 +78,7 @@
         follower: SettingsFollower,
         peers: Peers,
         list_records: Callable[[], Sequence[ProcessRecord]],
-        identity: Place,
+        identity: RelayIdentity,
         chance: random.Random,
     ) -> None:
         self._follower = follower
@@ -257,7 +257,7 @@
     follower: SettingsFollower,
     peers: Peers,
     list_records: Callable[[], Sequence[ProcessRecord]],
-    identity: Place,
+    identity: RelayIdentity,
     chance: random.Random | None = None,
 ) -> Relay:
     """Return the relay of one process; run its `run` as a task.
--- a/src/primrosestile/coordination/slotsharing.py
+++ b/src/primrosestile/coordination/slot_grants.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.celldata import Contact
+from primrosestile.coordination.cell_data import Contact
 from primrosestile.decisions.slots import GRANT_SECONDS, make_grant_ledger
 from primrosestile.protocol.messages import DemandReport
 
--- a/src/primrosestile/coordination/submission.py
+++ b/src/primrosestile/coordination/submission.py
@@ -15,8 +15,8 @@
 
 from primrosestile.clock import read_wall_clock
 from primrosestile.coordination.claims import Claims
-from primrosestile.coordination.jobbook import decode_job, make_job_key
-from primrosestile.coordination.writing import put_settled
+from primrosestile.coordination.job_table import decode_job, make_job_key
+from primrosestile.coordination.settled_writes import put_settled
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.store import Entry, Store
 from primrosestile.state.jobs import (
--- a/src/primrosestile/coordination/vmwatch.py
+++ b/src/primrosestile/coordination/vm_watch.py
@@ -26,7 +26,7 @@
     def __init__(self, vm_list: VmList, note: Callable[[frozenset[str]], None]) -> None:
         self._vm_list = vm_list
         self._note = note
-        self.looked = asyncio.Event()
+        self.first_read = asyncio.Event()
 
     async def run(self) -> None:
         """Read until cancelled."""
@@ -36,5 +36,5 @@
                 self._note(frozenset(each.name for each in listed if each.leaving))
             except Failure as failure:
                 _log.info("vm_list_unread", kind=failure.kind.value)
-            self.looked.set()
+            self.first_read.set()
             await asyncio.sleep(READ_SECONDS * random.uniform(0.8, 1.0))
--- a/src/primrosestile/coordination/following.py
+++ b/src/primrosestile/coordination/worker_poller.py
@@ -14,7 +14,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.actions import JobActions
-from primrosestile.coordination.celldata import CellData, Contact
+from primrosestile.coordination.cell_data import CellData, Contact
 from primrosestile.coordination.gangs import Stage, go_gang, make_task_id
 from primrosestile.decisions.poll_intervals import choose_poll_seconds
 from primrosestile.errors import ErrorKind, Failure
--- a/src/primrosestile/programs/clichanges.py
+++ b/src/primrosestile/programs/clichanges.py
@@ -5,8 +5,8 @@
 
 import typer
 
-from primrosestile.coordination.settingstore import decode_stored, put_setting
-from primrosestile.coordination.writing import list_all
+from primrosestile.coordination.setting_store import decode_stored, put_setting
+from primrosestile.coordination.settled_writes import list_all
 from primrosestile.decisions.settings_parts import list_load_steps
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.cliclient import Client, read_file, run_client
--- a/src/primrosestile/programs/entry.py
+++ b/src/primrosestile/programs/entry.py
@@ -10,9 +10,9 @@
 import structlog
 from aiohttp import web
 
-from primrosestile.coordination.cellwatch import CellWatch
+from primrosestile.coordination.cell_watch import CellWatch
 from primrosestile.coordination.claims import Claims
-from primrosestile.coordination.dispatch import Dispatcher
+from primrosestile.coordination.dispatcher import Dispatcher
 from primrosestile.coordination.membership import Directory
 from primrosestile.coordination.submission import Submissions
 from primrosestile.decisions.request_queue import make_queue
@@ -141,7 +141,7 @@
     await parts.registration.announce_leaving()
     await asyncio.sleep(parts.settings.drain_seconds)
     await runner.cleanup()
-    await entry.dispatcher.finish_settling()
+    await entry.dispatcher.finish_claims()
 
 
 async def _close(entry: Entry) -> None:
--- a/src/primrosestile/programs/entryapp.py
+++ b/src/primrosestile/programs/entryapp.py
@@ -8,9 +8,9 @@
 from aiohttp import web
 
 from primrosestile.clock import read_clock
-from primrosestile.coordination.cellwatch import CellWatch
+from primrosestile.coordination.cell_watch import CellWatch
 from primrosestile.coordination.claims import compute_fingerprint
-from primrosestile.coordination.dispatch import Dispatcher
+from primrosestile.coordination.dispatcher import Dispatcher
 from primrosestile.coordination.submission import Submission, Submissions
 from primrosestile.decisions.access import Rights, require_rights
 from primrosestile.decisions.cell_selection import choose_cell
--- a/src/primrosestile/programs/parts.py
+++ b/src/primrosestile/programs/parts.py
@@ -8,14 +8,14 @@
 from collections.abc import Awaitable
 from dataclasses import dataclass
 
-from primrosestile.coordination.answering import MessageTable
-from primrosestile.coordination.follower import SettingsFollower, make_follower
 from primrosestile.coordination.membership import (
     Directory,
     ProcessLease,
     Registration,
 )
-from primrosestile.coordination.relay import Place, Relay, make_relay
+from primrosestile.coordination.message_table import MessageTable
+from primrosestile.coordination.settings_follower import SettingsFollower, make_follower
+from primrosestile.coordination.settings_relay import Relay, RelayIdentity, make_relay
 from primrosestile.decisions.settings_view import view_settings
 from primrosestile.programs.common import Health
 from primrosestile.programs.metrics import Metrics
@@ -99,7 +99,7 @@
     messages = MessageTable(settings.vm, lambda: registration.record.leaving)
     directory = Directory(store)
     peers = make_peers(settings.name, settings.peer, settings.peer_keys)
-    identity = Place(settings.name, settings.failure_domain, settings.seeds)
+    identity = RelayIdentity(settings.name, settings.failure_domain, settings.seeds)
     relay = make_relay(follower, peers, directory.records, identity)
     relay.add_handlers(messages)
     return Parts(
--- a/src/primrosestile/programs/placer.py
+++ b/src/primrosestile/programs/placer.py
@@ -5,10 +5,10 @@
 
 from aiohttp import web
 
-from primrosestile.coordination.caretaking import Caretaker
-from primrosestile.coordination.exchange import DigestExchange
+from primrosestile.coordination.caretaker import Caretaker
+from primrosestile.coordination.digest_exchange import DigestExchange
 from primrosestile.coordination.ownership import Ownership
-from primrosestile.coordination.vmwatch import VmWatch
+from primrosestile.coordination.vm_watch import VmWatch
 from primrosestile.programs.common import (
     add_health_routes,
     answer_json,
@@ -143,7 +143,7 @@
 async def _run_when_ready(placer: Placer) -> None:
     """Own cells after the first settings and the first try to read the VM list."""
     await placer.parts.follower.wait_for_first()
-    await placer.vms.looked.wait()
+    await placer.vms.first_read.wait()
     placer.ownership.take_settings(placer.parts.follower.settings)
     await placer.ownership.run()
 
--- a/src/primrosestile/programs/stewardapp.py
+++ b/src/primrosestile/programs/stewardapp.py
@@ -2,7 +2,7 @@
 
 from aiohttp import web
 
-from primrosestile.coordination.follower import SettingsFollower
+from primrosestile.coordination.settings_follower import SettingsFollower
 from primrosestile.programs.answers import answer_failures
 from primrosestile.programs.stewardsettings import SettingsPages
 from primrosestile.programs.stewardviews import ListRecords, Views
--- a/src/primrosestile/programs/stewardsettings.py
+++ b/src/primrosestile/programs/stewardsettings.py
@@ -14,12 +14,12 @@
 from aiohttp import web
 
 from primrosestile.coordination.audit import PAGE_LIMIT, read_history
-from primrosestile.coordination.follower import SettingsFollower
-from primrosestile.coordination.settingstore import (
+from primrosestile.coordination.setting_store import (
     decode_stored,
     encode_stored,
     put_setting,
 )
+from primrosestile.coordination.settings_follower import SettingsFollower
 from primrosestile.decisions.access import require_operator
 from primrosestile.decisions.settings_change import (
     check_change,
@@ -194,8 +194,8 @@
             return ()
         settings = self._follower.settings
         faults = await asyncio.to_thread(check_settings, settings, path)
-        left_out = self._follower.left_out
-        faults += tuple(describe_excluded_worker(each) for each in left_out)
+        excluded_workers = self._follower.excluded_workers
+        faults += tuple(describe_excluded_worker(each) for each in excluded_workers)
         if faults:
             _log.error("settings_disagree", faults=[each.path for each in faults])
         return faults
--- a/src/primrosestile/programs/stewardviews.py
+++ b/src/primrosestile/programs/stewardviews.py
@@ -15,8 +15,8 @@
 import msgspec
 from aiohttp import web
 
-from primrosestile.coordination.follower import SettingsFollower
-from primrosestile.coordination.jobbook import decode_job, make_job_key
+from primrosestile.coordination.job_table import decode_job, make_job_key
+from primrosestile.coordination.settings_follower import SettingsFollower
 from primrosestile.decisions.access import require_operator, require_rights
 from primrosestile.decisions.guarantees import find_infeasible
 from primrosestile.errors import ErrorKind, Failure
