--- a/features/settings/stewardworld.py
+++ b/features/settings/stewardworld.py
@@ -12,7 +12,7 @@
 
 from primrosestile.coordination.membership import Directory
 from primrosestile.coordination.settings_follower import make_follower
-from primrosestile.programs.stewardapp import make_steward_app
+from primrosestile.programs.steward_app import make_steward_app
 from primrosestile.state.jobs import ProcessRecord
 from primrosestile.transport.connections import Connections
 from primrosestile_standin.store import MemoryStore
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -18,8 +18,8 @@
 from primrosestile.coordination.setting_store import decode_stored
 from primrosestile.errors import ANSWERS, ErrorKind, Failure, Ran
 from primrosestile.programs import cli
-from primrosestile.programs.cliclient import TOKEN_VARIABLE
-from primrosestile.programs.clioutput import (
+from primrosestile.programs.cli_client import TOKEN_VARIABLE
+from primrosestile.programs.cli_output import (
     EXIT_MEANINGS,
     Exit,
     choose_exit,
--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -20,8 +20,8 @@
 from primrosestile.clock import read_clock
 from primrosestile.platform.policy import POLICY_KEY
 from primrosestile.programs import cli
-from primrosestile.programs.cliexplain import collect_timeline
-from primrosestile.programs.logbounds import OTHER_LINES_PER_SECOND, LineBounds
+from primrosestile.programs.cli_timeline import collect_timeline
+from primrosestile.programs.log_limits import OTHER_LINES_PER_SECOND, LineBounds
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
 from primrosestile.state.work import Need
--- a/src/primrosestile/coordination/claimed_requests.py
+++ b/src/primrosestile/coordination/claimed_requests.py
@@ -136,7 +136,7 @@
             raise Failure(
                 ErrorKind.EARLIER_SENDING_UNKNOWN,
                 failure.detail,
-                failure.come_back_after,
+                failure.retry_delay,
             ) from failure
         if claim is None or claim.state is ClaimState.NOT_RUN:
             raise failure
--- a/src/primrosestile/coordination/dispatcher.py
+++ b/src/primrosestile/coordination/dispatcher.py
@@ -108,4 +108,4 @@
     """
     if unknown is None or not last.not_run:
         return last
-    return Failure(unknown.kind, unknown.detail, last.come_back_after)
+    return Failure(unknown.kind, unknown.detail, last.retry_delay)
--- a/src/primrosestile/errors.py
+++ b/src/primrosestile/errors.py
@@ -202,7 +202,7 @@
         return self.answer.ran is Ran.NOT_RUN
 
     @property
-    def come_back_after(self) -> float | None:
+    def retry_delay(self) -> float | None:
         """Seconds to wait before a retry, or None."""
         if self.retry_after is not None:
             return self.retry_after
--- a/src/primrosestile/programs/cli.py
+++ b/src/primrosestile/programs/cli.py
@@ -8,8 +8,8 @@
 
 import typer
 
-from primrosestile.programs import clichanges, cliexplain, clijobs, cliviews
-from primrosestile.programs.clioutput import Exit, describe_exits, print_note
+from primrosestile.programs import cli_changes, cli_jobs, cli_timeline, cli_views
+from primrosestile.programs.cli_output import Exit, describe_exits, print_note
 
 app = typer.Typer(
     name="primrosestile",
@@ -18,12 +18,12 @@
     help="Settings, jobs and views of a primrosestile deployment.",
     epilog=describe_exits(),
 )
-app.add_typer(clichanges.app, name="settings")
-app.add_typer(clijobs.app, name="job")
-app.command(epilog="Example: primrosestile fleet --json")(cliviews.fleet)
-app.command(epilog="Example: primrosestile guarantees")(cliviews.guarantees)
+app.add_typer(cli_changes.app, name="settings")
+app.add_typer(cli_jobs.app, name="job")
+app.command(epilog="Example: primrosestile fleet --json")(cli_views.fleet)
+app.command(epilog="Example: primrosestile guarantees")(cli_views.guarantees)
 app.command(epilog="Example: primrosestile explain --id 20e744bf3218dfdb node-*.log")(
-    cliexplain.explain
+    cli_timeline.explain
 )
 
 
--- a/src/primrosestile/programs/clichanges.py
+++ b/src/primrosestile/programs/cli_changes.py
@@ -9,10 +9,9 @@
 from primrosestile.coordination.settled_writes import list_all
 from primrosestile.decisions.settings_parts import list_load_steps
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.programs.cliclient import Client, read_file, run_client
-from primrosestile.programs.clidocuments import read_json, set_part
-from primrosestile.programs.clifollow import wait_in_force
-from primrosestile.programs.clioptions import (
+from primrosestile.programs.cli_client import Client, read_file, run_client
+from primrosestile.programs.cli_documents import read_json, set_part
+from primrosestile.programs.cli_options import (
     STEWARD_DEFAULT,
     WAIT_DEFAULT_SECONDS,
     AsJson,
@@ -22,14 +21,15 @@
     Wait,
     WaitSeconds,
 )
-from primrosestile.programs.clioutput import (
+from primrosestile.programs.cli_output import (
     Progress,
     print_lines,
     print_note,
     print_value,
     run_command,
 )
-from primrosestile.programs.clisettings import (
+from primrosestile.programs.cli_rollout import wait_in_force
+from primrosestile.programs.cli_settings import (
     FileArgument,
     PathArgument,
     app,
--- a/src/primrosestile/programs/cliclient.py
+++ b/src/primrosestile/programs/cli_client.py
@@ -15,7 +15,7 @@
 from primrosestile.decisions.settings_check import Fault
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.answers import REQUEST_ID_HEADER
-from primrosestile.programs.clioutput import CommandFailure, ErrorBody
+from primrosestile.programs.cli_output import CommandFailure, ErrorBody
 from primrosestile.transport.connections import Connections, FailureKinds, Reply
 from primrosestile.transport.wire import encode_json
 
--- a/src/primrosestile/programs/clijobs.py
+++ b/src/primrosestile/programs/cli_jobs.py
@@ -10,8 +10,8 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.programs.cliclient import Client, call_once, run_client
-from primrosestile.programs.clioptions import (
+from primrosestile.programs.cli_client import Client, call_once, run_client
+from primrosestile.programs.cli_options import (
     ENTRY_DEFAULT,
     STEWARD_DEFAULT,
     AsJson,
@@ -20,7 +20,7 @@
     TokenFile,
     WaitSeconds,
 )
-from primrosestile.programs.clioutput import (
+from primrosestile.programs.cli_output import (
     Exit,
     Progress,
     print_note,
--- a/src/primrosestile/programs/clioutput.py
+++ b/src/primrosestile/programs/cli_output.py
@@ -110,7 +110,7 @@
         detail=failure.detail,
         ran=answer.ran.value,
         remedy=answer.remedy,
-        retry_after=failure.come_back_after,
+        retry_after=failure.retry_delay,
         request_id="",
     )
 
--- a/src/primrosestile/programs/clifollow.py
+++ b/src/primrosestile/programs/cli_rollout.py
@@ -5,8 +5,8 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.errors import ErrorKind, Failure
-from primrosestile.programs.cliclient import Client
-from primrosestile.programs.clioutput import Progress
+from primrosestile.programs.cli_client import Client
+from primrosestile.programs.cli_output import Progress
 
 POLL_SECONDS = 0.5
 
--- a/src/primrosestile/programs/clisettings.py
+++ b/src/primrosestile/programs/cli_settings.py
@@ -9,13 +9,12 @@
 
 from primrosestile.decisions.settings_check import check_document
 from primrosestile.decisions.settings_parts import split_document
-from primrosestile.programs.cliclient import Client, call_once, read_file, run_client
-from primrosestile.programs.clidocuments import (
+from primrosestile.programs.cli_client import Client, call_once, read_file, run_client
+from primrosestile.programs.cli_documents import (
     compare_values,
     read_json,
 )
-from primrosestile.programs.clifollow import wait_in_force
-from primrosestile.programs.clioptions import (
+from primrosestile.programs.cli_options import (
     STEWARD_DEFAULT,
     WAIT_DEFAULT_SECONDS,
     AsJson,
@@ -24,7 +23,7 @@
     Wait,
     WaitSeconds,
 )
-from primrosestile.programs.clioutput import (
+from primrosestile.programs.cli_output import (
     Exit,
     print_faults,
     print_lines,
@@ -33,6 +32,7 @@
     print_value,
     run_command,
 )
+from primrosestile.programs.cli_rollout import wait_in_force
 
 app = typer.Typer(no_args_is_help=True, help="Check, read, change and follow settings.")
 
--- a/src/primrosestile/programs/cliexplain.py
+++ b/src/primrosestile/programs/cli_timeline.py
@@ -13,8 +13,12 @@
 import msgspec
 import typer
 
-from primrosestile.programs.clioutput import Exit, print_note
-from primrosestile.programs.stories import find_time, parse_task, select_task_lines
+from primrosestile.programs.cli_output import Exit, print_note
+from primrosestile.programs.task_timeline import (
+    find_time,
+    parse_task,
+    select_task_lines,
+)
 
 # Fields of every line; they are printed first or omitted.
 _COMMON = frozenset(
--- a/src/primrosestile/programs/cliviews.py
+++ b/src/primrosestile/programs/cli_views.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterator
 from typing import Any
 
-from primrosestile.programs.cliclient import call_once
-from primrosestile.programs.clioptions import (
+from primrosestile.programs.cli_client import call_once
+from primrosestile.programs.cli_options import (
     STEWARD_DEFAULT,
     AsJson,
     Steward,
     TokenFile,
 )
-from primrosestile.programs.clioutput import print_result, run_command
+from primrosestile.programs.cli_output import print_result, run_command
 
 
 def fleet(
--- a/src/primrosestile/programs/common.py
+++ b/src/primrosestile/programs/common.py
@@ -22,7 +22,7 @@
 
 from primrosestile.errors import Failure
 from primrosestile.programs.metrics import Metrics
-from primrosestile.programs.timekeeping import follow_vm_clock
+from primrosestile.programs.time_correction import follow_vm_clock
 from primrosestile.state.process import ProcessSettings
 from primrosestile.transport.wire import encode_json
 
@@ -82,7 +82,7 @@
 def answer_failure(failure: Failure, request_id: str = "") -> web.Response:
     """Return the error answer for a failure, from the table of errors."""
     answer = failure.answer
-    after = failure.come_back_after
+    after = failure.retry_delay
     body = {
         "error": failure.kind.value,
         "detail": failure.detail,
--- a/src/primrosestile/programs/entry.py
+++ b/src/primrosestile/programs/entry.py
@@ -24,7 +24,7 @@
     run_until_signal,
     start_http,
 )
-from primrosestile.programs.entryapp import EntryParts, make_entry_app
+from primrosestile.programs.entry_app import EntryParts, make_entry_app
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
 from primrosestile.programs.parts import AddressBook, Parts, make_parts
--- a/src/primrosestile/programs/entryapp.py
+++ b/src/primrosestile/programs/entry_app.py
@@ -17,7 +17,7 @@
 from primrosestile.decisions.request_queue import QueuedRequest
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.programs.common import answer_failure, answer_json
-from primrosestile.programs.entryrequests import (
+from primrosestile.programs.entry_requests import (
     BODY_LIMIT_BYTES,
     Caller,
     JobBody,
--- a/src/primrosestile/programs/logs.py
+++ b/src/primrosestile/programs/logs.py
@@ -9,7 +9,7 @@
 import msgspec
 import structlog
 
-from primrosestile.programs.logbounds import LineBounds
+from primrosestile.programs.log_limits import LineBounds
 
 # Present in every line, so that a search for an id finds all its lines.
 LINE_FIELDS = ("request_id", "job_id", "epoch")
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -28,8 +28,8 @@
 from primrosestile.platform.workers import PlatformWorkerList, PlatformWorkers
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
-from primrosestile.programs.nodecalls import CallerCalls
-from primrosestile.programs.timekeeping import follow_vm_clock
+from primrosestile.programs.node_calls import CallerCalls
+from primrosestile.programs.time_correction import follow_vm_clock
 from primrosestile.transport.connections import Connections
 
 EXIT_BAD_SETTINGS = 2
--- a/src/primrosestile/programs/nodecalls.py
+++ b/src/primrosestile/programs/node_calls.py
@@ -189,7 +189,7 @@
         seconds=round(read_clock() - began, 3),
     )
     response = web.Response(status=answer.status)
-    after = failure.come_back_after
+    after = failure.retry_delay
     if after is not None:
         response.headers["Retry-After"] = str(max(1, math.ceil(after)))
     return response
--- a/src/primrosestile/programs/steward.py
+++ b/src/primrosestile/programs/steward.py
@@ -16,7 +16,7 @@
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
 from primrosestile.programs.parts import make_parts
-from primrosestile.programs.stewardapp import make_steward_app
+from primrosestile.programs.steward_app import make_steward_app
 from primrosestile.state.process import ProcessSettings
 from primrosestile.transport.connections import Connections
 
--- a/src/primrosestile/programs/stewardapp.py
+++ b/src/primrosestile/programs/steward_app.py
@@ -4,8 +4,8 @@
 
 from primrosestile.coordination.settings_follower import SettingsFollower
 from primrosestile.programs.answers import answer_failures
-from primrosestile.programs.stewardsettings import SettingsPages
-from primrosestile.programs.stewardviews import ListRecords, Views
+from primrosestile.programs.steward_settings import SettingsPages
+from primrosestile.programs.steward_views import ListRecords, Views
 from primrosestile.protocol.store import Store
 from primrosestile.transport.connections import Connections
 
--- a/tools/errorpage.py
+++ b/tools/errorpage.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from primrosestile.errors import ANSWERS, Answer, ErrorKind, Failure
-from primrosestile.programs.clioutput import (
+from primrosestile.programs.cli_output import (
     EXIT_MEANINGS,
     choose_exit,
     make_failure_body,
