--- a/features/steps/failures_answers_steps.py
+++ b/features/steps/failures_answers_steps.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from behave import given, then, when
-from failures_judge import check_request
+from failures_checks import check_request
 from failures_outages_steps import VMS
 from failures_world import World
 
--- a/features/steps/failures_gangs_steps.py
+++ b/features/steps/failures_gangs_steps.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from behave import given, then, when
-from failures_judge import check_gang, group_attempts
+from failures_checks import check_gang, group_attempts
 from failures_world import World, restart, start_world
 from path_steps import list_owned
 from tools.launch import call_json
--- a/features/steps/failures_outages_steps.py
+++ b/features/steps/failures_outages_steps.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from behave import given, then, when
-from failures_judge import check_gang, check_request, group_attempts
+from failures_checks import check_gang, check_request, group_attempts
 from failures_requests_steps import wait_for_runs
 from failures_world import TASK_LEASE_SECONDS, World
 from path_steps import TEAM
--- a/features/steps/failures_requests_steps.py
+++ b/features/steps/failures_requests_steps.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from behave import given, then, when
-from failures_judge import check_request
+from failures_checks import check_request
 from failures_world import World, start_world
 from tools.launch import call_json
 
--- a/features/steps/failures_storefaults_steps.py
+++ b/features/steps/failures_storefaults_steps.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from behave import given, then, when
+from failures_checks import check_gang, check_request, group_attempts
 from failures_gangs_steps import GANG_SIZE, submit_wave
-from failures_judge import check_gang, check_request, group_attempts
 from failures_outages_steps import VMS
 from failures_requests_steps import SLOW_SECONDS
 from failures_world import World
--- a/features/steps/failures_workers_steps.py
+++ b/features/steps/failures_workers_steps.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from behave import given, then, when
-from failures_judge import check_gang, group_attempts
+from failures_checks import check_gang, group_attempts
 from failures_world import World
 
 VMS = ("vm-1", "vm-2", "vm-3")
