--- a/features/doubles/crashday.py
+++ b/features/doubles/crashday.py
@@ -14,7 +14,7 @@
 
 from primrosestile.errors import Failure
 from primrosestile.state.work import JobState, Need
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 QUEUES = ("urgent", "usual", "patient")
 JOBS = 16
--- a/features/doubles/fleetworld.py
+++ b/features/doubles/fleetworld.py
@@ -26,10 +26,10 @@
 from primrosestile.state.policy import Policy
 from primrosestile.state.work import JobState, Submission
 from primrosestile.state.workers import WorkerEntry
-from primrosestile_standin.fleetcalls import FleetCalls
-from primrosestile_standin.fleetstore import FleetStore
-from primrosestile_standin.fleetvms import FleetVms
-from primrosestile_standin.fleetworker import (
+from primrosestile_standin.fleet_calls import FleetCalls
+from primrosestile_standin.fleet_store import FleetStore
+from primrosestile_standin.fleet_vms import FleetVms
+from primrosestile_standin.fleet_worker import (
     MAX_LEASE_SECONDS,
     Fleet,
     FleetWorker,
--- a/features/doubles/foreign.py
+++ b/features/doubles/foreign.py
@@ -11,7 +11,7 @@
 from primrosestile.protocol.fleet import PollAnswer, Refusal
 from primrosestile.protocol.store import Entry, Page
 from primrosestile.transport.connections import Reply
-from primrosestile_standin.fleetcalls import FleetCalls
+from primrosestile_standin.fleet_calls import FleetCalls
 
 GOOD_WORKER = PlatformEntry("w1", make_address("w1"), "r1", 8, ()).encode()
 GOOD_WAVE = json.dumps(
--- a/features/doubles/longday.py
+++ b/features/doubles/longday.py
@@ -27,7 +27,7 @@
     Submission,
     encode_record,
 )
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 # Callers may pass 4,000 bytes to their tasks.
 PAYLOAD = "x" * 3000
--- a/features/doubles/restarts.py
+++ b/features/doubles/restarts.py
@@ -5,7 +5,7 @@
 
 from features.doubles.fleetworld import FleetWorld
 
-from primrosestile_standin.fleetworker import FleetWorker
+from primrosestile_standin.fleet_worker import FleetWorker
 
 # The store removes an entry after three missed heartbeats.
 ENTRY_SECONDS = 4.5
--- a/features/doubles/workworld.py
+++ b/features/doubles/workworld.py
@@ -31,9 +31,9 @@
 from primrosestile.state.policy import Policy, Queue
 from primrosestile.state.work import JobState, decode_ended, decode_progress
 from primrosestile.state.workers import EndKind
-from primrosestile_standin.fleetcalls import FleetCalls
-from primrosestile_standin.fleetscript import Script
-from primrosestile_standin.fleetworker import FleetWorker
+from primrosestile_standin.fleet_calls import FleetCalls
+from primrosestile_standin.fleet_script import Script
+from primrosestile_standin.fleet_worker import FleetWorker
 from primrosestile_standin.link import Link
 
 PROCESSES = ("p0", "p1")
--- a/features/steps/foreign_fuzzing_steps.py
+++ b/features/steps/foreign_fuzzing_steps.py
@@ -32,7 +32,7 @@
 from primrosestile.protocol.transactions import list_entries
 from primrosestile.state.work import JobState
 from primrosestile.state.workers import WorkerEntry
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 WORKER = json.loads(GOOD_WORKER)
 WORKER_ITEM = show_item("servers/x", encode_value(GOOD_WORKER))
--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -25,7 +25,7 @@
 from primrosestile.programs.logs import set_up_logs
 from primrosestile.programs.metrics import Metrics
 from primrosestile.state.work import Need
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 LOW_PRIORITY_JOB = "00000000000000b1"
 RESTARTED_TASK = f"{LOW_PRIORITY_JOB}.0.0.1"
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -30,9 +30,9 @@
 from primrosestile.state.work import Need
 from primrosestile.transport.connections import Connections
 from primrosestile_standin.fleet_http import AdviceEnd, StoreEnd, WorkersEnd
-from primrosestile_standin.fleetscript import Script
-from primrosestile_standin.fleetstore import FleetStore
-from primrosestile_standin.fleetworker import Fleet
+from primrosestile_standin.fleet_script import Script
+from primrosestile_standin.fleet_store import FleetStore
+from primrosestile_standin.fleet_worker import Fleet
 
 SETTINGS = """
 node=front-1
--- a/features/steps/platform_upkeep_steps.py
+++ b/features/steps/platform_upkeep_steps.py
@@ -14,7 +14,7 @@
 from primrosestile.protocol.maintenance import MaintenanceAnswer
 from primrosestile.state.maintenance import VmState, WorkerVm
 from primrosestile.transport.connections import Connections
-from primrosestile_standin.fleetstore import FleetStore
+from primrosestile_standin.fleet_store import FleetStore
 
 PAGES = {
     "": {
--- a/features/steps/work_capacity_steps.py
+++ b/features/steps/work_capacity_steps.py
@@ -11,7 +11,7 @@
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.protocol.fleet import StartOrder
 from primrosestile.state.work import Need
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 ORPHANED_JOB = make_id("orphan")
 
--- a/features/steps/work_crashes_steps.py
+++ b/features/steps/work_crashes_steps.py
@@ -16,7 +16,7 @@
 from primrosestile.decisions.work.speeds import Speeds
 from primrosestile.decisions.work.units import Proof
 from primrosestile.state.work import CrashCount, Need, Step
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 
 @given("crashed workers restart after {seconds:g} s")
--- a/features/steps/work_services_steps.py
+++ b/features/steps/work_services_steps.py
@@ -9,7 +9,7 @@
 
 from primrosestile.clock import read_clock
 from primrosestile.platform.policy import POLICY_KEY
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 SERVICE = make_id("service")
 BATCH = make_id("batch")
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -14,7 +14,7 @@
 from primrosestile.platform.policy import POLICY_KEY
 from primrosestile.state.work import JobState
 from primrosestile.state.workers import EndKind
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 SETTLE_SECONDS = 2.0
 
--- a/features/steps/work_submitting_steps.py
+++ b/features/steps/work_submitting_steps.py
@@ -17,7 +17,7 @@
 from primrosestile.protocol.store import Entry
 from primrosestile.state.policy import Policy, Queue
 from primrosestile.state.work import JobState, Submission
-from primrosestile_standin.fleetstore import FleetStore
+from primrosestile_standin.fleet_store import FleetStore
 
 ONE_TASK = [{"count": 1, "cpu": 1000, "mem_mb": 1000, "gpu": 1}]
 KEYS = {"domes": "key-domes", "post": "key-post"}
--- a/features/steps/work_waiting_steps.py
+++ b/features/steps/work_waiting_steps.py
@@ -8,7 +8,7 @@
 
 from primrosestile.coordination.work.keys import make_waiting_key
 from primrosestile.state.work import Need
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_script import Script
 
 QUEUE = "usual"
 REMOVED_JOB = "00000000000000ff"
--- a/src/primrosestile_standin/fleetcalls.py
+++ b/src/primrosestile_standin/fleet_calls.py
@@ -15,7 +15,7 @@
     StartOrder,
 )
 from primrosestile.state.workers import WorkerEntry
-from primrosestile_standin.fleetworker import (
+from primrosestile_standin.fleet_worker import (
     ANSWER_SECONDS,
     TIMEOUT_SECONDS,
     Fleet,
--- a/src/primrosestile_standin/fleet_http.py
+++ b/src/primrosestile_standin/fleet_http.py
@@ -17,9 +17,9 @@
 from primrosestile.protocol.store import Change, Entry
 from primrosestile.protocol.transactions import Condition, Write
 from primrosestile.state.workers import WorkerEntry
-from primrosestile_standin.fleetcalls import FleetCalls
-from primrosestile_standin.fleetstore import FleetStore
-from primrosestile_standin.fleetworker import Fleet
+from primrosestile_standin.fleet_calls import FleetCalls
+from primrosestile_standin.fleet_store import FleetStore
+from primrosestile_standin.fleet_worker import Fleet
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 WorkerHandler = Callable[[WorkerEntry, Any], Awaitable[web.StreamResponse]]
--- a/src/primrosestile_standin/fleetworker.py
+++ b/src/primrosestile_standin/fleet_worker.py
@@ -19,10 +19,10 @@
 )
 from primrosestile.state.work import Need
 from primrosestile.state.workers import EndKind, WorkerEntry
-from primrosestile_standin.fleetadvice import FleetAdvice
-from primrosestile_standin.fleetcheckpoints import FleetCheckpoints
-from primrosestile_standin.fleetfaults import FleetWorkerFaults
-from primrosestile_standin.fleetscript import Script
+from primrosestile_standin.fleet_advice import FleetAdvice
+from primrosestile_standin.fleet_checkpoints import FleetCheckpoints
+from primrosestile_standin.fleet_faults import FleetWorkerFaults
+from primrosestile_standin.fleet_script import Script
 
 ANSWER_SECONDS = 0.002
 TIMEOUT_SECONDS = 0.45
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -29,8 +29,8 @@
 from primrosestile.platform.policy import POLICY_KEY
 from primrosestile.state.work import Need
 from primrosestile_standin.fleet_http import AdviceEnd, StoreEnd, WorkersEnd
-from primrosestile_standin.fleetstore import FleetStore
-from primrosestile_standin.fleetworker import Fleet, Script
+from primrosestile_standin.fleet_store import FleetStore
+from primrosestile_standin.fleet_worker import Fleet, Script
 from tools.soakproxy import Mode, Proxy
 
 ROOT = Path(__file__).resolve().parent.parent
