--- a/features/doubles/foreign.py
+++ b/features/doubles/foreign.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from features.doubles.fleetworld import PlatformEntry, make_address, make_policy
+from features.doubles.fleet_world import PlatformEntry, make_address, make_policy
 
 from primrosestile.platform.polls import read_poll
 from primrosestile.protocol.fleet import PollAnswer, Refusal
--- a/features/doubles/crashday.py
+++ b/features/doubles/random_crashes.py
@@ -8,9 +8,9 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from features.doubles.fleetworld import FleetWorld
-from features.doubles.restarts import Restarts
-from features.doubles.troubles import restart_process, take_store_down
+from features.doubles.fleet_world import FleetWorld
+from features.doubles.shared_faults import restart_process, take_store_down
+from features.doubles.worker_restarts import Restarts
 
 from primrosestile.errors import Failure
 from primrosestile.state.work import JobState, Need
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class CrashDay:
+class RandomCrashes:
     """One run of the test.
 
     Attributes:
@@ -111,7 +111,7 @@
 
     async def _change_restarts(self) -> None:
         self.restarts.after = self.draw.choice(RESTART_DELAYS_SECONDS)
-        self.restarts.dark = self.draw.random() < 0.4
+        self.restarts.unresponsive = self.draw.random() < 0.4
 
     async def _kill_owner(self) -> None:
         owner = self.world.find_owner()
@@ -127,7 +127,7 @@
 
     async def _check_results(self) -> None:
         """Record jobs with a wrong final state, and violations by the fleet."""
-        self.wrong += map(str, self.world.fleet.faults_found)
+        self.wrong += map(str, self.world.fleet.violations)
         process = next(iter(self.world.processes))
         for job_id, queue in self.queues.items():
             state = await self.world.read_state(process, job_id, queue)
--- a/features/doubles/drawnday.py
+++ b/features/doubles/random_faults.py
@@ -10,8 +10,8 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from features.doubles.fleetworld import FleetWorld, Process
-from features.doubles.troubles import restart_process, take_store_down
+from features.doubles.fleet_world import FleetWorld, Process
+from features.doubles.shared_faults import restart_process, take_store_down
 
 from primrosestile.errors import Failure
 from primrosestile.state.work import JobState, Need
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class DrawnDay:
+class RandomFaults:
     """One run of the test.
 
     Attributes:
@@ -195,4 +195,4 @@
             ]
             if len(keys) != 1:
                 self.wrong.append(f"{job_id} has {keys} in the store")
-        self.wrong += map(str, self.world.fleet.faults_found)
+        self.wrong += map(str, self.world.fleet.violations)
--- a/features/doubles/troubles.py
+++ b/features/doubles/shared_faults.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from features.doubles.fleetworld import FleetWorld, Process
+from features.doubles.fleet_world import FleetWorld, Process
 
 
 async def restart_process(
--- a/features/doubles/longday.py
+++ b/features/doubles/stored_jobs.py
@@ -4,7 +4,7 @@
 import math
 from collections.abc import Iterable
 
-from features.doubles.fleetworld import POOL, FleetWorld, make_policy
+from features.doubles.fleet_world import POOL, FleetWorld, make_policy
 
 from primrosestile.clock import read_clock, read_wall_clock
 from primrosestile.coordination.work.ended_jobs import EndedJobs
--- a/features/doubles/workworld.py
+++ b/features/doubles/work_world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from features.doubles.fleetworld import (
+from features.doubles.fleet_world import (
     FleetWorld,
     PlatformEntry,
     Process,
@@ -15,7 +15,7 @@
     run_process,
 )
 from features.doubles.processes import PausedRunner, Running, SimulatedProcess
-from features.doubles.worklinks import LinkedCalls, LinkedStore, WorkLink
+from features.doubles.work_links import LinkedCalls, LinkedStore, WorkLink
 
 from primrosestile.clock import read_wall_clock
 from primrosestile.coordination.work.keys import (
@@ -359,7 +359,7 @@
 def check_ledger(world: WorkWorld) -> None:
     """Check for concurrent or repeated runs of a task, and for lost jobs."""
     world.find_open()
-    assert not world.fleet.faults_found, world.fleet.faults_found
+    assert not world.fleet.violations, world.fleet.violations
 
 
 def check_ended(world: WorkWorld) -> None:
--- a/features/doubles/restarts.py
+++ b/features/doubles/worker_restarts.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from features.doubles.fleetworld import FleetWorld
+from features.doubles.fleet_world import FleetWorld
 
 from primrosestile_standin.fleet_worker import FleetWorker
 
@@ -24,7 +24,7 @@
 
     world: FleetWorld
     after: float = 3.5
-    dark: bool = False
+    unresponsive: bool = False
     count: int = 0
 
     def crash(self, name: str) -> None:
@@ -36,7 +36,7 @@
     def follow(self, worker: FleetWorker) -> None:
         """Schedule the next incarnation of a crashed worker."""
         self.count += 1
-        worker.faults.dark = self.dark
+        worker.faults.unresponsive = self.unresponsive
         loop = asyncio.get_running_loop()
         loop.call_later(ENTRY_SECONDS, self._remove_entry, worker)
         loop.call_later(self.after, self._begin, worker, f"{self.count}")
--- a/features/fuzzing/work.py
+++ b/features/fuzzing/work.py
@@ -3,10 +3,10 @@
 import sys
 from typing import Any
 
-from features.doubles.fleetworld import PlatformEntry, make_address
+from features.doubles.fleet_world import PlatformEntry, make_address
 from features.doubles.processes import Running
-from features.doubles.worklinks import Way
-from features.doubles.workworld import (
+from features.doubles.work_links import Way
+from features.doubles.work_world import (
     ACCELERATORS,
     PROCESSES,
     VMS,
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 from behave import given, then, when
-from features.doubles.fleetworld import POOL, make_policy
+from features.doubles.fleet_world import POOL, make_policy
 from features.doubles.foreign import (
     GOOD_RUN,
     GOOD_WAVE,
--- a/features/steps/foreign_fuzzing_steps.py
+++ b/features/steps/foreign_fuzzing_steps.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from behave import then
-from features.doubles.fleetworld import POOL, FleetWorld, make_address, make_policy
+from features.doubles.fleet_world import POOL, FleetWorld, make_address, make_policy
 from features.doubles.foreign import (
     GOOD_POLICY,
     GOOD_WAVE,
@@ -314,7 +314,7 @@
         await world.wait_for_state("p1", job, JobState.COMPLETED, 10.0, "usual")
         assert world.processes["p1"].election.term is term
         assert len(world.fleet.starts) == 6, world.fleet.starts
-        assert not world.fleet.faults_found
+        assert not world.fleet.violations
 
     try:
         world.run(run())
--- a/features/steps/fuzzing_work_steps.py
+++ b/features/steps/fuzzing_work_steps.py
@@ -3,9 +3,9 @@
 from typing import Any
 
 from behave import given, then, when
-from features.doubles.fleetworld import make_address
-from features.doubles.worklinks import Way
-from features.doubles.workworld import VMS, Job, WorkWorld, check_ledger
+from features.doubles.fleet_world import make_address
+from features.doubles.work_links import Way
+from features.doubles.work_world import VMS, Job, WorkWorld, check_ledger
 from features.fuzzing.running import run_machine
 from features.fuzzing.work import SHAPES, WorkMachine
 
--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -14,7 +14,7 @@
 
 import structlog
 from behave import given, then, when
-from features.doubles.fleetworld import FleetWorld, make_policy
+from features.doubles.fleet_world import FleetWorld, make_policy
 from typer.testing import CliRunner
 
 from primrosestile.clock import read_clock
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -11,7 +11,7 @@
 import aiohttp
 from aiohttp import web
 from behave import given, then, when
-from features.doubles.fleetworld import HOST, PlatformEntry, make_policy
+from features.doubles.fleet_world import HOST, PlatformEntry, make_policy
 
 from primrosestile.errors import ErrorKind, Failure
 from primrosestile.platform.callers import read_submission
@@ -29,7 +29,7 @@
 from primrosestile.state.policy import Queue
 from primrosestile.state.work import Need
 from primrosestile.transport.connections import Connections
-from primrosestile_standin.fleet_http import AdviceEnd, StoreEnd, WorkersEnd
+from primrosestile_standin.fleet_http import AdviceServer, StoreServer, WorkersServer
 from primrosestile_standin.fleet_script import Script
 from primrosestile_standin.fleet_store import FleetStore
 from primrosestile_standin.fleet_worker import Fleet
@@ -211,11 +211,11 @@
 
     async def _serve(self, workers: int) -> None:
         self.store.put(POLICY_KEY, make_policy(1))
-        await self._listen(StoreEnd(self.store).make_app(), self.ports["store"])
-        await self._listen(AdviceEnd(self.fleet).make_app(), self.ports["advice"])
+        await self._listen(StoreServer(self.store).make_app(), self.ports["store"])
+        await self._listen(AdviceServer(self.fleet).make_app(), self.ports["advice"])
         for number in range(workers):
             port = find_free_port()
-            await self._listen(WorkersEnd(self.fleet).make_app(), port)
+            await self._listen(WorkersServer(self.fleet).make_app(), port)
             shape = PlatformEntry(f"w{number}", f"127.0.0.1:{port}", "r1", 8, ())
             self.store.put(f"servers/w{number}", shape.encode())
             self.fleet.add(shape.make())
@@ -408,7 +408,7 @@
 
 @then("the stand-in's ledger shows no faults")
 def step_ledger_http(context: Any) -> None:
-    assert not context.platform.fleet.faults_found
+    assert not context.platform.fleet.violations
 
 
 @then("invalid requests get these statuses")
--- a/features/steps/work_capacity_steps.py
+++ b/features/steps/work_capacity_steps.py
@@ -19,7 +19,7 @@
 @given("no worker refuses what does not fit")
 def step_unchecked(context: Any) -> None:
     for worker in context.world.fleet.workers.values():
-        worker.faults.unguarded = True
+        worker.faults.overcommits = True
 
 
 @when("worker {name} has {count:d} accelerators from now on")
--- a/features/steps/work_crashes_steps.py
+++ b/features/steps/work_crashes_steps.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from behave import given, then, when
-from features.doubles.crashday import CrashDay
-from features.doubles.restarts import Restarts, make_restarts
+from features.doubles.random_crashes import RandomCrashes
+from features.doubles.worker_restarts import Restarts, make_restarts
 from features.steps.work_decisions_steps import add_job, add_worker, make_fleet_state
 from features.steps.work_steps import make_id
 
@@ -49,7 +49,7 @@
 @given("crashed workers restart after {seconds:g} s, and answer nothing until then")
 def step_restart_unreachable(context: Any, seconds: float) -> None:
     context.restarts.after = seconds
-    context.restarts.dark = True
+    context.restarts.unresponsive = True
 
 
 def find_worker(context: Any, name: str) -> str | None:
@@ -106,7 +106,7 @@
 
 @when("a day of crashes is drawn with seed {seed:d}")
 def step_day(context: Any, seed: int) -> None:
-    context.day = CrashDay(context.world, context.restarts, random.Random(seed))
+    context.day = RandomCrashes(context.world, context.restarts, random.Random(seed))
     context.world.run(context.day.play())
 
 
--- a/features/steps/work_election_steps.py
+++ b/features/steps/work_election_steps.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from behave import given, then, when
-from features.doubles.fleetworld import FleetWorld, Process
+from features.doubles.fleet_world import FleetWorld, Process
 
 from primrosestile.clock import read_clock
 from primrosestile.coordination.work.keys import OWNER_KEY
--- a/features/steps/work_reading_steps.py
+++ b/features/steps/work_reading_steps.py
@@ -8,9 +8,9 @@
 
 import structlog.testing
 from behave import given, then, when
-from features.doubles.drawnday import JOBS, DrawnDay
-from features.doubles.fleetworld import FleetWorld, Process
-from features.doubles.longday import end_jobs, set_link, spread_id, store_jobs
+from features.doubles.fleet_world import FleetWorld, Process
+from features.doubles.random_faults import JOBS, RandomFaults
+from features.doubles.stored_jobs import end_jobs, set_link, spread_id, store_jobs
 from features.steps.work_steps import list_running, make_id, write_script
 
 from primrosestile import clock
@@ -180,7 +180,7 @@
 
 @when("the watches of the store are silent")
 def step_silent_watches(context: Any) -> None:
-    context.world.store.faults.deaf_watches = True
+    context.world.store.faults.silent_watches = True
 
 
 @then("the job that was cancelled has stopped within {seconds:g} s")
@@ -456,7 +456,7 @@
 
 @when("the day of faults of seed {seed:d} is played")
 def step_drawn_day(context: Any, seed: int) -> None:
-    context.day = DrawnDay(context.world, random.Random(seed))
+    context.day = RandomFaults(context.world, random.Random(seed))
     context.world.run(context.day.play())
 
 
--- a/features/steps/work_review_steps.py
+++ b/features/steps/work_review_steps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from behave import given, then, when
-from features.doubles.fleetworld import QUEUES, make_policy
+from features.doubles.fleet_world import QUEUES, make_policy
 from work_steps import list_running, make_id
 
 from primrosestile.clock import read_clock
--- a/features/steps/work_slow_owner_steps.py
+++ b/features/steps/work_slow_owner_steps.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from behave import given, step, then, when
-from features.doubles.fleetworld import FleetWorld, Process
+from features.doubles.fleet_world import FleetWorld, Process
 from work_steps import list_running, make_id, read_steps, write_script
 
 from primrosestile.clock import read_clock
@@ -141,17 +141,17 @@
     job = make_id(name)
     faults = context.world.store.faults
     fleet = context.world.fleet
-    note = fleet.note_start
+    note = fleet.record_start
     context.started = []
 
-    def note_start(worker: Any, order: Any) -> None:
+    def record_start(worker: Any, order: Any) -> None:
         if order.task.startswith(job):
             context.started.append(read_clock())
         note(worker, order)
 
     async def play() -> None:
         faults.unread[take_owner(context).name] = CALLER_REQUESTS_PREFIX
-        fleet.note_start = note_start
+        fleet.record_start = record_start
         await asyncio.sleep(after)
         assert list_running(context.world, job)
         await cancel_at_other(context, name)
--- a/features/steps/work_steps.py
+++ b/features/steps/work_steps.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from behave import given, step, then, when
-from features.doubles.fleetworld import FleetWorld, make_address, make_policy
-from features.doubles.troubles import take_store_down
+from features.doubles.fleet_world import FleetWorld, make_address, make_policy
+from features.doubles.shared_faults import take_store_down
 
 from primrosestile.clock import read_wall_clock
 from primrosestile.errors import ErrorKind, Failure
@@ -197,13 +197,13 @@
         start_at_ms=context.due * 1000,
         interval_ms=gap * 1000,
     )
-    context.world.fleet.note_start = record_times(context)
+    context.world.fleet.record_start = record_times(context)
 
 
 def record_times(context: Any) -> Any:
     """Return a start hook of the ledger that also records each start's time."""
     context.times = {}
-    note = context.world.fleet.note_start
+    note = context.world.fleet.record_start
 
     def note_and_record(worker: Any, order: Any) -> None:
         context.times.setdefault(order.task, read_wall_clock())
@@ -386,13 +386,13 @@
     ]
     assert workers, "no worker runs both"
     for worker in workers:
-        worker.faults.deaf_to_looks = True
+        worker.faults.ignores_polls = True
 
 
 @when("every worker answers polls again")
 def step_polled_again(context: Any) -> None:
     for worker in context.world.fleet.workers.values():
-        worker.faults.deaf_to_looks = False
+        worker.faults.ignores_polls = False
 
 
 @when("the entry of {name} names the address of {other}")
@@ -517,7 +517,7 @@
 
 @then("the fleet's ledger shows nothing wrong")
 def step_ledger(context: Any) -> None:
-    found = context.world.fleet.faults_found
+    found = context.world.fleet.violations
     assert not found, json.dumps(found, indent=1)
 
 
--- a/features/steps/work_submitting_steps.py
+++ b/features/steps/work_submitting_steps.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from behave import given, then, when
-from features.doubles.fleetworld import HOST, FleetWorld, make_policy
+from features.doubles.fleet_world import HOST, FleetWorld, make_policy
 from features.steps.coordination_steps import run_paused
 from features.steps.work_steps import make_id, write_script
 
--- a/features/steps/work_upkeep_steps.py
+++ b/features/steps/work_upkeep_steps.py
@@ -201,7 +201,9 @@
 
 @then("at most {most:d} VMs were away at once")
 def step_most_away(context: Any, most: int) -> None:
-    assert context.world.vms.most_away <= most, context.world.vms.most_away
+    assert context.world.vms.peak_unavailable <= most, (
+        context.world.vms.peak_unavailable
+    )
 
 
 @when("the owner is lost right after its {which} order")
--- a/features/steps/work_waiting_steps.py
+++ b/features/steps/work_waiting_steps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from behave import given, then, when
-from features.doubles.fleetworld import FleetWorld, Process
+from features.doubles.fleet_world import FleetWorld, Process
 
 from primrosestile.coordination.work.keys import make_waiting_key
 from primrosestile.state.work import Need
--- a/src/primrosestile_standin/fleet_calls.py
+++ b/src/primrosestile_standin/fleet_calls.py
@@ -51,7 +51,7 @@
         worker = await self._reach(entry)
         if worker is None:
             return Refusal.OTHER_INCARNATION
-        if worker.faults.deaf_to_looks:
+        if worker.faults.ignores_polls:
             await asyncio.sleep(TIMEOUT_SECONDS)
             raise Failure(ErrorKind.WORKER_UNREACHABLE, "no answer to a poll")
         worker.sweep()
@@ -61,7 +61,7 @@
         if wait:
             await worker.wait_for_end(wait)
         if not worker.alive:
-            if worker.faults.dark:
+            if worker.faults.unresponsive:
                 await asyncio.sleep(TIMEOUT_SECONDS)
             raise Failure(ErrorKind.WORKER_UNREACHABLE, "the connection was closed")
         worker.sweep()
--- a/src/primrosestile_standin/fleet_faults.py
+++ b/src/primrosestile_standin/fleet_faults.py
@@ -29,12 +29,12 @@
     cut: bool = False
     fails_all: bool = False
     stalled_tasks: bool = False
-    deaf_to_looks: bool = False
+    ignores_polls: bool = False
     late_orders: list[float] = field(default_factory=list)
     lose_answers: int = 0
     unhealthy: bool = False
     stop_seconds: float = STOP_SECONDS
     clock_jumps: list[float] = field(default_factory=list)
     number_jumps: list[int] = field(default_factory=list)
-    unguarded: bool = False
-    dark: bool = False
+    overcommits: bool = False
+    unresponsive: bool = False
--- a/src/primrosestile_standin/fleet_http.py
+++ b/src/primrosestile_standin/fleet_http.py
@@ -55,7 +55,7 @@
     return {"key": change.key, "revision": change.revision, "deleted": True}
 
 
-class StoreEnd:
+class StoreServer:
     """The store's calls. Faults identify a caller by its address."""
 
     def __init__(self, store: FleetStore) -> None:
@@ -150,7 +150,7 @@
         return answer({"ttl_ms": 0}) if alive else web.Response(status=404)
 
 
-class AdviceEnd:
+class AdviceServer:
     """The advice service's call; a failure is answered with 429."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -171,7 +171,7 @@
         return answer({"good": [[each.worker, each.ticket] for each in advice.allowed]})
 
 
-class WorkersEnd:
+class WorkersServer:
     """The calls of all workers, on one listener."""
 
     def __init__(self, fleet: Fleet) -> None:
--- a/src/primrosestile_standin/fleet_store.py
+++ b/src/primrosestile_standin/fleet_store.py
@@ -60,7 +60,7 @@
     lose_writes: int = 0
     lose_renewals: int = 0
     late_writes: list[float] = field(default_factory=list)
-    deaf_watches: bool = False
+    silent_watches: bool = False
     unread: dict[str, str] = field(default_factory=dict)
     slow_seconds: float = 0.0
     megabits: dict[str, float] = field(default_factory=dict)
@@ -332,7 +332,7 @@
             batch = self._store.find_changes(prefix, after)
             if not batch.complete:
                 return batch
-            if batch.changes and not self._store.faults.deaf_watches:
+            if batch.changes and not self._store.faults.silent_watches:
                 return batch
             if read_clock() >= until:
                 return WatchBatch((), after)
--- a/src/primrosestile_standin/fleet_vms.py
+++ b/src/primrosestile_standin/fleet_vms.py
@@ -31,7 +31,7 @@
     ) -> None:
         self.waves: list[Wave] = []
         self.completed: dict[int, list[str]] = {}
-        self.most_away = 0
+        self.peak_unavailable = 0
         self.lose_answers = 0
         self.seconds = MAINTENANCE_SECONDS
         self.orders: list[tuple[float, str, int]] = []
@@ -82,7 +82,7 @@
         unavailable = [
             each for each in self._vms.values() if each.state is not VmState.UP
         ]
-        self.most_away = max(self.most_away, len(unavailable))
+        self.peak_unavailable = max(self.peak_unavailable, len(unavailable))
         loop = asyncio.get_running_loop()
         loop.call_later(self.seconds, self._return, name, f"{vm.worker}+")
         return MaintenanceAnswer.BEGUN
--- a/src/primrosestile_standin/fleet_worker.py
+++ b/src/primrosestile_standin/fleet_worker.py
@@ -237,15 +237,15 @@
         return None
 
     def _has_room(self, script: Script) -> bool:
-        return self.faults.unguarded or self._fits(self.entry.capacity, script.need)
+        return self.faults.overcommits or self._fits(self.entry.capacity, script.need)
 
     def _begin(self, order: StartOrder, script: Script) -> None:
-        self._fleet.note_start(self, order)
+        self._fleet.record_start(self, order)
         run = _Run(order.task, order.run, read_clock(), script)
         run.done_before = self._fleet.checkpoints.find_saved_seconds(order.checkpoint)
         self.runs[order.task] = run
         if self.is_overcommitted():
-            self._fleet.faults_found.append(
+            self._fleet.violations.append(
                 f"{order.task} starts on {self.entry.worker} beyond its capacity"
             )
         if script.crashes_after is not None:
@@ -352,7 +352,7 @@
         self.advice = FleetAdvice()
         self.checkpoints = FleetCheckpoints()
         self.tickets_refused = 0
-        self.faults_found: list[str] = []
+        self.violations: list[str] = []
         self.starts: list[tuple[str, int, str]] = []
         self.ends: list[tuple[str, int, EndKind]] = []
         self.crashes: Counter[str] = Counter()
@@ -381,28 +381,28 @@
         found = [
             each for each in self.workers.values() if each.entry.address == address
         ]
-        return bool(found) and not found[-1].alive and found[-1].faults.dark
+        return bool(found) and not found[-1].alive and found[-1].faults.unresponsive
 
     def find_script(self, task: str) -> Script:
         """Return a task's script: its own, its job's, or the default."""
         job = task.partition(".")[0]
         return self.scripts.get(task) or self.scripts.get(job) or self.default
 
-    def note_start(self, worker: FleetWorker, order: StartOrder) -> None:
+    def record_start(self, worker: FleetWorker, order: StartOrder) -> None:
         """Record a start, and the invariants that it violates."""
         self.starts.append((order.task, order.run, worker.entry.worker))
         unit = self.name_unit(order.task)
         if self.find_script(order.task).checkpoints:
             wrong = self.checkpoints.check(unit, order.run, order.checkpoint)
-            self.faults_found += [wrong] if wrong else []
+            self.violations += [wrong] if wrong else []
         for other in self.workers.values():
             other.sweep()
             if other.alive and order.task in other.runs:
-                self.faults_found.append(
+                self.violations.append(
                     f"{order.task} run {order.run} starts while it runs elsewhere"
                 )
         if self.name_unit(order.task) in self._acknowledged_units:
-            self.faults_found.append(f"{order.task} starts after its successful end")
+            self.violations.append(f"{order.task} starts after its successful end")
         self._check_crashes(order.task)
 
     def _check_crashes(self, task: str) -> None:
@@ -411,7 +411,7 @@
             return
         self._starts_after_limit[task] += 1
         if self._starts_after_limit[task] == STARTS_AFTER_LIMIT:
-            self.faults_found.append(
+            self.violations.append(
                 f"{task} was started {STARTS_AFTER_LIMIT} more times after it had"
                 f" crashed {CRASH_LIMIT} workers"
             )
@@ -449,7 +449,7 @@
             self._acknowledged_units.add(unit)
             for task, run, _ in self.starts[end.starts :]:
                 if self.name_unit(task) == unit:
-                    self.faults_found.append(
+                    self.violations.append(
                         f"{task} run {run} was started after an acknowledged end"
                     )
 
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -24,11 +24,11 @@
 
 import aiohttp
 from aiohttp import web
-from features.doubles.fleetworld import HOST, PlatformEntry, make_policy
+from features.doubles.fleet_world import HOST, PlatformEntry, make_policy
 
 from primrosestile.platform.policy import POLICY_KEY
 from primrosestile.state.work import Need
-from primrosestile_standin.fleet_http import AdviceEnd, StoreEnd, WorkersEnd
+from primrosestile_standin.fleet_http import AdviceServer, StoreServer, WorkersServer
 from primrosestile_standin.fleet_store import FleetStore
 from primrosestile_standin.fleet_worker import Fleet, Script
 from tools.soakproxy import Mode, Proxy
@@ -174,10 +174,10 @@
 
     async def _set_up(self) -> None:
         self.store.put(POLICY_KEY, make_policy(1))
-        store = await self._listen(StoreEnd(self.store).make_app())
-        advice = await self._listen(AdviceEnd(self.fleet).make_app())
+        store = await self._listen(StoreServer(self.store).make_app())
+        advice = await self._listen(AdviceServer(self.fleet).make_app())
         for number in range(WORKERS):
-            port = await self._listen(WorkersEnd(self.fleet).make_app())
+            port = await self._listen(WorkersServer(self.fleet).make_app())
             proxy = await self._add_proxy(port)
             entry = PlatformEntry(
                 f"w{number}",
@@ -348,7 +348,7 @@
         for job in self.jobs:
             if job.refused and job.job_id in started:
                 self.wrong.append(f"{job.job_id} was refused as not run, and ran")
-        self.wrong += self.fleet.faults_found
+        self.wrong += self.fleet.violations
         if not accepted:
             self.wrong.append("no job was accepted")
 
