--- a/features/doubles/fleet_world.py
+++ b/features/doubles/fleet_world.py
@@ -182,7 +182,7 @@
                 status_retention_seconds=120.0,
                 max_lease_seconds=MAX_LEASE_SECONDS,
                 advice=self.fleet.advice,
-                upkeep=self.vms,
+                maintenance=self.vms,
             )
             await run_scheduler(process.scheduler)
 
--- a/features/doubles/stored_jobs.py
+++ b/features/doubles/stored_jobs.py
@@ -86,7 +86,7 @@
         job_id = entry.key.removeprefix(JOBS_PREFIX)
         job = fleet_state.admit(make_submission(job_id, tasks), None, read_clock(), 0.0)
         fleet_state.open_occurrence(job, 0)
-        recorder.note_job(job, entry.mod_revision)
+        recorder.set_job_revision(job, entry.mod_revision)
         for unit in job.units.values():
             unit.run = 1
             unit.phase = Phase.DONE
--- a/features/steps/work_decisions_steps.py
+++ b/features/steps/work_decisions_steps.py
@@ -228,7 +228,7 @@
 
 def end_stopping(fleet_state: FleetState) -> None:
     for member in list(fleet_state.list_stopping()):
-        fleet_state.note_end(member.task, member.run, EndKind.STOPPED, "")
+        fleet_state.record_end(member.task, member.run, EndKind.STOPPED, "")
 
 
 @then("on an empty fleet a drawn unit that could ever run is started")
@@ -273,7 +273,7 @@
         for at, unit in [each for each in ends if each[0] <= now]:
             ends.remove((at, unit))
             for member in unit.members:
-                fleet_state.note_end(member.task, member.run, EndKind.DONE, "")
+                fleet_state.record_end(member.task, member.run, EndKind.DONE, "")
         plan = make_plan(fleet_state, context.durations, context.speeds, now)
         apply_plan(fleet_state, plan, now)
         for start in plan.starts:
@@ -297,12 +297,12 @@
         apply_plan(fleet_state, plan_at(fleet_state, 0.0), 0.0)
         unit = next(iter(fleet_state.jobs[f"{number:016x}"].units.values()))
         for member in unit.members:
-            fleet_state.note_up(member, 0.1)
+            fleet_state.mark_up(member, 0.1)
             member.percent = 90.0 / (factor if member.worker == "w0" else 1.0)
             member.progressed_at = 3.0
-        context.speeds.note_done(unit.members[0], 3.1)
+        context.speeds.record_success(unit.members[0], 3.1)
         for member in unit.members:
-            fleet_state.note_end(member.task, member.run, EndKind.DONE, "")
+            fleet_state.record_end(member.task, member.run, EndKind.DONE, "")
 
 
 @when("an urgent task of one accelerator is placed")
@@ -325,8 +325,10 @@
 
 @when("two jobs fail on worker 0")
 def step_two_fail(context: Any) -> None:
-    context.quarantine.note_failed("w0", "j1", 2.0, 0.0, context.count)
-    context.until = context.quarantine.note_failed("w0", "j2", 2.0, 0.0, context.count)
+    context.quarantine.record_failure("w0", "j1", 2.0, 0.0, context.count)
+    context.until = context.quarantine.record_failure(
+        "w0", "j2", 2.0, 0.0, context.count
+    )
 
 
 @then("worker 0 gets no work for {seconds:g} s")
@@ -336,8 +338,10 @@
 
 @when("a run succeeds on worker 0 and then one job fails there")
 def step_well(context: Any) -> None:
-    context.quarantine.note_done("w0")
-    context.until = context.quarantine.note_failed("w0", "j3", 2.0, 10.0, context.count)
+    context.quarantine.record_success("w0")
+    context.until = context.quarantine.record_failure(
+        "w0", "j3", 2.0, 10.0, context.count
+    )
 
 
 @then("worker 0 still gets work")
@@ -462,7 +466,7 @@
 
 @when("a job fails {seconds:g} s after it was started on worker 0")
 def step_fails_after(context: Any, seconds: float) -> None:
-    context.until = context.quarantine.note_failed(
+    context.until = context.quarantine.record_failure(
         "w0", "j1", seconds, 0.0, context.count
     )
 
@@ -475,7 +479,7 @@
         add_job(fleet_state, number, 1, (step,))
         unit = next(iter(fleet_state.jobs[f"{number:016x}"].units.values()))
         fleet_state.order(unit, ["w0"], 0.0)
-        fleet_state.note_up(unit.members[0], 0.01)
+        fleet_state.mark_up(unit.members[0], 0.01)
 
 
 @when("worker 0 announces that it leaves in {seconds:g} s")
@@ -530,7 +534,7 @@
 def step_progress(context: Any, first: float, second: float, seconds: float) -> None:
     pairs = zip(context.unit.members, (first, second), strict=True)
     for member, percent in pairs:
-        context.fleet_state.note_up(member, 0.0)
+        context.fleet_state.mark_up(member, 0.0)
         member.heard_at = seconds
         if percent:
             member.percent = percent
--- a/features/steps/work_freeing_steps.py
+++ b/features/steps/work_freeing_steps.py
@@ -32,7 +32,7 @@
     add_job(context.fleet_state, number, 2, (step,), now=BEGAN)
     for unit in find_units(context.fleet_state, number):
         context.fleet_state.order(unit, [worker], BEGAN)
-        context.fleet_state.note_up(unit.members[0], BEGAN)
+        context.fleet_state.mark_up(unit.members[0], BEGAN)
 
 
 @given(
@@ -68,7 +68,7 @@
 @when("{count:d} of the stopped tasks have ended")
 def step_end(context: Any, count: int) -> None:
     for unit in context.stopped[:count]:
-        context.fleet_state.note_gone(unit.members[0], Proof.ENDED)
+        context.fleet_state.mark_gone(unit.members[0], Proof.ENDED)
         # Its job must not wait again.
         context.fleet_state.finish(unit.job, JobState.CANCELLED)
 
@@ -76,7 +76,7 @@
 @when("{count:d} tasks on worker 1 have ended")
 def step_end_others(context: Any, count: int) -> None:
     for unit in find_units(context.fleet_state, 11)[:count]:
-        context.fleet_state.note_end(unit.members[0].task, unit.run, EndKind.DONE, "")
+        context.fleet_state.record_end(unit.members[0].task, unit.run, EndKind.DONE, "")
 
 
 def add_task(context: Any, organisation: str, later: float) -> None:
--- a/features/steps/work_heavy_steps.py
+++ b/features/steps/work_heavy_steps.py
@@ -52,7 +52,7 @@
     assert len(started) == count
     for each in started:
         context.fleet_state.order(each.unit, [each.workers[0].name], began)
-        context.fleet_state.note_up(each.unit.members[0], began)
+        context.fleet_state.mark_up(each.unit.members[0], began)
 
 
 @given("{count:d} low-priority tasks {saving} checkpoints run under an earlier owner")
@@ -69,7 +69,7 @@
     progress = Progress(JobState.RUNNING, units)
     job = context.fleet_state.admit(submission, progress, NOW, 0.0)
     for unit in job.units.values():
-        context.fleet_state.note_up(unit.members[0], NOW)
+        context.fleet_state.mark_up(unit.members[0], NOW)
 
 
 @when("an urgent task of one accelerator waits")
@@ -112,7 +112,7 @@
         add_job(context.fleet_state, number, 0, (step,), now=NOW - 50)
         unit = next(iter(context.fleet_state.jobs[f"{number:016x}"].units.values()))
         context.fleet_state.order(unit, [worker.name], NOW - 50)
-        context.fleet_state.note_up(unit.members[0], NOW - 50)
+        context.fleet_state.mark_up(unit.members[0], NOW - 50)
 
 
 @when(
--- a/features/steps/work_slow_owner_steps.py
+++ b/features/steps/work_slow_owner_steps.py
@@ -317,7 +317,7 @@
 
 
 HEALTHY = OwnerMetrics(
-    wishes_age=0.5,
+    requests_age=0.5,
     records_age=0.1,
     workers=100,
     heard=100,
@@ -333,7 +333,7 @@
 def step_healthy(context: Any) -> None:
     context.metrics = HEALTHY
     context.health = OwnerHealth()
-    context.health.given_up = 0
+    context.health.resignations = 0
 
 
 @given("its {measure} is {value:g}")
@@ -360,7 +360,7 @@
 
 @given("{before} owners resigned before it")
 def step_before(context: Any, before: str) -> None:
-    context.health.given_up = int(before) if before.isdigit() else None
+    context.health.resignations = int(before) if before.isdigit() else None
 
 
 @then(
@@ -369,10 +369,10 @@
 )
 def step_minimum_term(context: Any, seconds: float, pause: float) -> None:
     health = context.health
-    assert find_minimum_term_seconds(health.given_up) == seconds
+    assert find_minimum_term_seconds(health.resignations) == seconds
     for served, expected in ((seconds - 0.1, False), (seconds + 0.1, True)):
         metrics = replace(context.metrics, served=served)
         judged = [health.judge(metrics, number * 0.5) for number in range(4)]
         assert any(judged) is expected, (served, judged)
-    times = 1000 if health.given_up is None else health.given_up + 1
+    times = 1000 if health.resignations is None else health.resignations + 1
     assert find_candidacy_pause(times) == pause
--- a/features/steps/work_submitting_steps.py
+++ b/features/steps/work_submitting_steps.py
@@ -130,7 +130,7 @@
 
 @when("p1 is shown policy version {version:d} by a late answer")
 def step_older(context: Any, version: int) -> None:
-    context.world.processes["p1"].policies.note(context.older)
+    context.world.processes["p1"].policies.apply_version(context.older)
 
 
 @then("p1 uses version {version:d}")
--- a/features/work/slow_owner.feature
+++ b/features/work/slow_owner.feature
@@ -196,8 +196,8 @@
 
     Examples:
       | measure       | value | does                                |
-      | wishes_age    | 3.9   | stays                               |
-      | wishes_age    | 4.1   | resigns: wishes not heard           |
+      | requests_age  | 3.9   | stays                               |
+      | requests_age  | 4.1   | resigns: wishes not heard           |
       | records_age   | 4.9   | stays                               |
       | records_age   | 5.1   | resigns: records not written        |
       | heard         | 50    | stays                               |
@@ -217,22 +217,22 @@
     Then it stays
 
     Examples:
-      | measure     | value |
-      | wishes_age  | 9     |
-      | records_age | 9     |
-      | heard       | 0     |
-      | loop_delay  | 2     |
-      | unanswered  | 1     |
+      | measure      | value |
+      | requests_age | 9     |
+      | records_age  | 9     |
+      | heard        | 0     |
+      | loop_delay   | 2     |
+      | unanswered   | 1     |
 
   Scenario: One bad moment changes nothing
     Given a healthy owner
-    And its wishes_age is 9
+    And its requests_age is 9
     When it is judged for 0.9 s
     Then it stays
 
   Scenario Outline: Each owner serves longer the more have given up before it
     Given a healthy owner
-    And its wishes_age is 90
+    And its requests_age is 90
     And <before> owners resigned before it
     Then it may resign after <seconds> s, and is the last candidate for <pause> s afterwards
 
--- a/src/primrosestile/coordination/work/election.py
+++ b/src/primrosestile/coordination/work/election.py
@@ -73,7 +73,7 @@
         self._paused_until = 0.0
         self.term: Term | None = None
         # How many times this process resigned.
-        self.given_up = 0
+        self.resignations = 0
         self._resignations_in_row = 0
 
     async def run(self) -> None:
@@ -166,11 +166,11 @@
             if now - began > HEALTHY_TERM_SECONDS:
                 self._resignations_in_row = 0
             return
-        self.given_up += 1
+        self.resignations += 1
         self._resignations_in_row += 1
         pause = find_candidacy_pause(self._resignations_in_row)
         self._paused_until = now + pause
-        _log.info("ownership_pause", seconds=pause, given_up=self.given_up)
+        _log.info("ownership_pause", seconds=pause, given_up=self.resignations)
 
     async def _create(self, revision: int) -> Term | None:
         lease = await self._hold_lease()
--- a/src/primrosestile/coordination/work/health_monitor.py
+++ b/src/primrosestile/coordination/work/health_monitor.py
@@ -99,10 +99,11 @@
         """Read how many owners resigned before; clear it once this one is healthy."""
         while True:
             try:
-                if self._owner_health.given_up is None:
+                if self._owner_health.resignations is None:
                     await self._read_record()
-                elif self._owner_health.given_up and self._owner_health.has_recovered(
-                    read_clock()
+                elif (
+                    self._owner_health.resignations
+                    and self._owner_health.has_recovered(read_clock())
                 ):
                     await self._clear_record()
             except Failure as failure:
@@ -116,7 +117,7 @@
         listed = [each for each in self._fleet_state.workers.values() if each.listed]
         calls, unanswered = self._calls.count()
         return OwnerMetrics(
-            wishes_age=self._find_requests_age(now),
+            requests_age=self._find_requests_age(now),
             records_age=self._find_records_age(now),
             workers=len(listed),
             heard=sum(self._is_heard(each.name, now) for each in listed),
@@ -162,8 +163,8 @@
             "ownership_given_up",
             fence=self._term.fence,
             trouble=problem.value,
-            given_up_before=self._owner_health.given_up,
-            wishes_age=round(work.wishes_age, 2),
+            given_up_before=self._owner_health.resignations,
+            wishes_age=round(work.requests_age, 2),
             records_age=round(work.records_age, 2),
             workers=work.workers,
             heard=work.heard,
@@ -195,7 +196,7 @@
             self._set_resignations(0)
 
     def _set_resignations(self, resignations: int) -> None:
-        self._owner_health.given_up = resignations
+        self._owner_health.resignations = resignations
         self._term.earlier_resignations = resignations
 
     def count(self) -> dict[str, float]:
@@ -204,7 +205,7 @@
         if work is None:
             return {}
         return {
-            "wishes_age_seconds": work.wishes_age,
+            "wishes_age_seconds": work.requests_age,
             "records_age_seconds": work.records_age,
             "workers_heard": float(work.heard),
             "loop_delay_seconds": work.loop_delay,
--- a/src/primrosestile/coordination/work/job_submissions.py
+++ b/src/primrosestile/coordination/work/job_submissions.py
@@ -121,7 +121,7 @@
         found = {entry.key: entry for entry in outcome.found}
         policy = found.get(self._policy_key)
         if policy is not None:
-            self._policies.note(policy)
+            self._policies.apply_version(policy)
         return found
 
     async def _read_back(self, job_id: str, submission: Submission) -> Submission:
--- a/src/primrosestile/coordination/work/orders.py
+++ b/src/primrosestile/coordination/work/orders.py
@@ -128,7 +128,7 @@
         _log.info("start_withheld", **name_unit(unit))
         self._fleet_state.abandon(unit)
         for member in unit.members:
-            self._fleet_state.note_gone(member, Proof.NEVER_SENT)
+            self._fleet_state.mark_gone(member, Proof.NEVER_SENT)
         self._wake()
 
     async def _send_start(self, member: Member) -> None:
@@ -160,7 +160,7 @@
             self._process_answer(member, link, answer, unanswered)
             return
         if not unanswered:
-            self._fleet_state.note_gone(member, Proof.NEVER_SENT)
+            self._fleet_state.mark_gone(member, Proof.NEVER_SENT)
         self._fleet_state.abandon(member.unit)
         self._wake()
 
@@ -185,12 +185,12 @@
                 fence=self._term.fence,
                 worker_clock=round(answer.clock, 3),
             )
-            self._fleet_state.note_up(member, read_clock())
+            self._fleet_state.mark_up(member, read_clock())
             self._recorder.request_round()
             return
         self._note_refusal(member, link.worker, answer.refusal)
         if not unanswered:
-            self._fleet_state.note_gone(member, Proof.REFUSED)
+            self._fleet_state.mark_gone(member, Proof.REFUSED)
         self._fleet_state.abandon(member.unit)
         self._wake()
 
--- a/src/primrosestile/coordination/work/policy_watch.py
+++ b/src/primrosestile/coordination/work/policy_watch.py
@@ -137,11 +137,11 @@
             self._answered_at = asked_at
         if entry is None:
             return
-        self.note(entry)
+        self.apply_version(entry)
         if self._policy is not None and entry.mod_revision <= self._policy.revision:
             self._proved_at = max(self._proved_at, asked_at)
 
-    def note(self, entry: Entry) -> None:
+    def apply_version(self, entry: Entry) -> None:
         """Apply a version unless a newer one is known.
 
         Answers overtake one another, and an older version must never come back
--- a/src/primrosestile/coordination/work/recorder.py
+++ b/src/primrosestile/coordination/work/recorder.py
@@ -124,7 +124,7 @@
         since = self._writing_since
         return since is None or read_clock() - since < STALL_SECONDS
 
-    def note_job(self, job: Job, revision: int) -> None:
+    def set_job_revision(self, job: Job, revision: int) -> None:
         """Set the known revision of a job's key."""
         self._jobs[job.job_id] = revision
         if job.state is JobState.QUEUED:
--- a/src/primrosestile/coordination/work/request_watch.py
+++ b/src/primrosestile/coordination/work/request_watch.py
@@ -214,7 +214,7 @@
             return
         age = _find_age(submission.accepted_at, since)
         job = self._fleet_state.admit(submission, progress, read_clock(), age)
-        self._recorder.note_job(job, entry.mod_revision)
+        self._recorder.set_job_revision(job, entry.mod_revision)
         if progress is None:
             _log.info(
                 "job_admitted",
--- a/src/primrosestile/coordination/work/scheduler.py
+++ b/src/primrosestile/coordination/work/scheduler.py
@@ -90,7 +90,7 @@
         status_retention_seconds: float,
         max_lease_seconds: float,
         advice: AdviceCalls,
-        upkeep: MaintenanceCalls,
+        maintenance: MaintenanceCalls,
     ) -> None:
         self._store = store
         self._calls = MeteredCalls(calls)
@@ -117,7 +117,7 @@
             workers, self._fleet_state, self._add_worker, self._wake
         )
         self._maintenance = MaintenanceRunner(
-            upkeep, store, term, self._fleet_state, self._wake
+            maintenance, store, term, self._fleet_state, self._wake
         )
         self._advisor = Advisor(
             advice, self._fleet_state, self._durations, term, self._wake
@@ -232,7 +232,7 @@
             self._fleet_state,
             self._recorder,
             self._wake,
-            self._note_end,
+            self._record_end,
             self._max_lease_seconds,
         )
         self._links[name] = link
@@ -249,10 +249,10 @@
             if self._links.get(name) is link:
                 del self._links[name]
 
-    def _note_end(self, member: Member, kind: EndKind) -> None:
+    def _record_end(self, member: Member, kind: EndKind) -> None:
         """Update the worker's quarantine and the statistics with the end of a run."""
         if kind is EndKind.DONE:
-            self._quarantine.note_done(member.worker)
+            self._quarantine.record_success(member.worker)
             self._record_duration(member)
         if kind is not EndKind.FAILED:
             return
@@ -263,7 +263,7 @@
         expected = member.unit.step.daemon and seconds > EARLY_FAILURE_SECONDS
         if worker is None or expected:
             return
-        until = self._quarantine.note_failed(
+        until = self._quarantine.record_failure(
             member.worker,
             member.unit.job.job_id,
             seconds,
@@ -276,7 +276,7 @@
 
     def _record_duration(self, member: Member) -> None:
         unit = member.unit
-        self._speeds.note_done(member, read_clock())
+        self._speeds.record_success(member, read_clock())
         if not member.up_at or member.restored or member.resumed:
             return
         self._durations.learn(
@@ -345,7 +345,7 @@
 
     def _quarantine_worker(self, worker: Worker, now: float) -> None:
         """Quarantine a worker on which a task is stalled."""
-        until = self._quarantine.note_stalled(
+        until = self._quarantine.record_stall(
             worker.name, now, len(self._fleet_state.workers)
         )
         worker.quarantined_until = max(worker.quarantined_until, until)
--- a/src/primrosestile/coordination/work/worker_links.py
+++ b/src/primrosestile/coordination/work/worker_links.py
@@ -67,7 +67,7 @@
         fleet_state: FleetState,
         recorder: Recorder,
         wake: Callable[[], None],
-        note_end: Callable[[Member, EndKind], None],
+        record_end: Callable[[Member, EndKind], None],
         max_lease_seconds: float,
     ) -> None:
         self.worker = worker
@@ -77,7 +77,7 @@
         self._fleet_state = fleet_state
         self._recorder = recorder
         self._wake = wake
-        self._note_end = note_end
+        self._record_end = record_end
         self._numbers = EndNumbers()
         self._pause = 0.0
         # Runs whose stop the worker has answered, and when.
@@ -238,7 +238,7 @@
             members=len(worker.members),
             tasks=list_names(each.task for each in worker.members.values()),
         )
-        self._fleet_state.drop_worker(worker.name, Proof.LIFE_OVER)
+        self._fleet_state.drop_worker(worker.name, Proof.INCARNATION_OVER)
         self._wake()
 
     async def _process_poll(self, poll: PollAnswer, sent_at: float) -> None:
@@ -293,7 +293,7 @@
                 self._orphans[row.task, row.run] = now
                 orphaned += 1
                 continue
-            self._fleet_state.note_up(member, now)
+            self._fleet_state.mark_up(member, now)
             member.heard_at = now
             if row.percent > member.percent:
                 member.percent = row.percent
@@ -317,8 +317,10 @@
             estimate=member.unit.step.estimate_seconds,
         )
         if member.unit.phase is Phase.ORDERED:
-            self._note_end(member, ended.kind)
-        self._fleet_state.note_end(ended.task, ended.run, ended.kind, ended.checkpoint)
+            self._record_end(member, ended.kind)
+        self._fleet_state.record_end(
+            ended.task, ended.run, ended.kind, ended.checkpoint
+        )
         self._stopped.pop((ended.task, ended.run), None)
 
     def _process_absent(self, poll: PollAnswer, sent_at: float) -> None:
@@ -331,18 +333,18 @@
             self._stopped.pop(key)
             member = self.worker.members.get(key)
             if member is not None:
-                self._fleet_state.note_gone(member, Proof.BARRED)
+                self._fleet_state.mark_gone(member, Proof.BARRED)
         for key, member in list(self.worker.members.items()):
             if key in present:
                 continue
             if member.state is not MemberState.UP:
                 # Its order had a lower fence than this poll: it would be refused now.
                 if member.restored:
-                    self._fleet_state.note_gone(member, Proof.FENCED_OFF)
+                    self._fleet_state.mark_gone(member, Proof.FENCED_OFF)
                 continue
             if member.unit.phase is Phase.DONE:
                 # Another member has reported that the gang ended well.
-                self._fleet_state.note_gone(member, Proof.GANG_ENDED)
+                self._fleet_state.mark_gone(member, Proof.GANG_ENDED)
             elif member.up_at < sent_at and key not in self._stopped:
                 self._fleet_state.abandon(member.unit)
 
--- a/src/primrosestile/decisions/work/fleet_state.py
+++ b/src/primrosestile/decisions/work/fleet_state.py
@@ -191,16 +191,16 @@
     def drop_worker(self, name: str, proof: Proof) -> None:
         """Remove a worker whose incarnation or lease has certainly ended."""
         for member in self.unlisted_members.pop(name, []):
-            self.note_gone(member, proof)
+            self.mark_gone(member, proof)
         worker = self.workers.pop(name, None)
         if worker is None:
             return
         if proof in FINAL_PROOFS:
             self._ended[name] = worker.entry.address
-        if proof is Proof.LIFE_OVER:
+        if proof is Proof.INCARNATION_OVER:
             self.crashes.record_crash(worker)
         for member in list(worker.members.values()):
-            self.note_gone(member, proof)
+            self.mark_gone(member, proof)
 
     def has_ended(self, entry: WorkerEntry) -> bool:
         """Whether an entry is that of an incarnation that is known to have ended."""
@@ -227,7 +227,7 @@
         else:
             self.crashes.record_silence(worker, now)
         for member in list(worker.members.values()):
-            self.note_gone(member, proof)
+            self.mark_gone(member, proof)
 
     def find_member(self, task: str, run: int) -> Member | None:
         """Return the member of a unit's latest run, if this is one."""
@@ -253,7 +253,7 @@
             index = 0
         return job.units.get(UnitKey(occurrence, step, index))
 
-    def note_end(self, task: str, run: int, kind: EndKind, checkpoint: str) -> None:
+    def record_end(self, task: str, run: int, kind: EndKind, checkpoint: str) -> None:
         """Apply the end of a run; that of an older run changes nothing."""
         member = self.find_member(task, run)
         if member is None or member.state is MemberState.GONE:
@@ -268,7 +268,7 @@
         elif unit.phase is Phase.ORDERED:
             unit.abandoned = True
         self.changed.add(unit.job)
-        self.note_gone(member, Proof.ENDED)
+        self.mark_gone(member, Proof.ENDED)
 
     def _record_success(self, unit: Unit) -> None:
         if unit.phase is not Phase.ORDERED:
@@ -320,7 +320,7 @@
         if unit.phase is Phase.ORDERED:
             unit.abandoned = True
 
-    def note_gone(self, member: Member, proof: Proof) -> None:
+    def mark_gone(self, member: Member, proof: Proof) -> None:
         """Mark a member that certainly does not run, and never will, as gone."""
         if member.state is MemberState.GONE:
             return
@@ -340,7 +340,7 @@
             unit.phase = Phase.WAITING
             unit.abandoned = False
 
-    def note_up(self, member: Member, now: float) -> None:
+    def mark_up(self, member: Member, now: float) -> None:
         """Mark a member as running, as reported by its worker."""
         if member.state is not MemberState.SENT:
             return
--- a/src/primrosestile/decisions/work/owner_health.py
+++ b/src/primrosestile/decisions/work/owner_health.py
@@ -83,7 +83,7 @@
         served: Seconds since the term began.
     """
 
-    wishes_age: float
+    requests_age: float
     records_age: float
     workers: int
     heard: int
@@ -96,7 +96,7 @@
 
 def find_problem(work: OwnerMetrics) -> OwnerProblem | None:
     """Return what isn't done though the store answers, or None if all is done."""
-    if min(work.wishes_age, work.store_answers) > MAX_REQUESTS_AGE_SECONDS:
+    if min(work.requests_age, work.store_answers) > MAX_REQUESTS_AGE_SECONDS:
         return OwnerProblem.REQUESTS
     if min(work.records_age, work.store_answers) > MAX_RECORDS_AGE_SECONDS:
         return OwnerProblem.RECORDS
@@ -137,7 +137,7 @@
     """
 
     def __init__(self) -> None:
-        self.given_up: int | None = None
+        self.resignations: int | None = None
         self._problem_since: float | None = None
         self._healthy_since: float | None = None
 
@@ -154,7 +154,7 @@
             self._problem_since = now
         if now - self._problem_since < PROBLEM_HOLD_SECONDS:
             return None
-        if work.served < find_minimum_term_seconds(self.given_up):
+        if work.served < find_minimum_term_seconds(self.resignations):
             return None
         return problem
 
--- a/src/primrosestile/decisions/work/speeds.py
+++ b/src/primrosestile/decisions/work/speeds.py
@@ -51,7 +51,7 @@
         """Whether urgent work should preferably go elsewhere."""
         return self.find_factor(worker) > SLOW_FACTOR
 
-    def note_done(self, member: Member, now: float) -> None:
+    def record_success(self, member: Member, now: float) -> None:
         """Learn from a successful run; a gang's is reported by one member."""
         unit = member.unit
         if unit.step.gang:
--- a/src/primrosestile/decisions/work/units.py
+++ b/src/primrosestile/decisions/work/units.py
@@ -72,7 +72,7 @@
     BARRED = "barred"
     FENCED_OFF = "fenced off"
     GANG_ENDED = "gang ended"
-    LIFE_OVER = "life over"
+    INCARNATION_OVER = "life over"
     LEASE_OVER = "lease over"
     VM_ORDERED = "VM ordered"
     NEVER_ANSWERED = "unheard"
@@ -80,7 +80,7 @@
 
 # Proofs that an incarnation has ended for good, so that its name never comes back;
 # after the others the same incarnation may answer again.
-FINAL_PROOFS = frozenset({Proof.LIFE_OVER, Proof.VM_ORDERED})
+FINAL_PROOFS = frozenset({Proof.INCARNATION_OVER, Proof.VM_ORDERED})
 
 
 @dataclass(slots=True, eq=False)
--- a/src/primrosestile/decisions/work/worker_quarantine.py
+++ b/src/primrosestile/decisions/work/worker_quarantine.py
@@ -41,11 +41,11 @@
     def __init__(self) -> None:
         self._histories: dict[str, FailureHistory] = {}
 
-    def note_done(self, worker: str) -> None:
+    def record_success(self, worker: str) -> None:
         """Record a successful run."""
         self._histories.pop(worker, None)
 
-    def note_failed(
+    def record_failure(
         self, worker: str, job: str, seconds: float, now: float, workers: int
     ) -> float:
         """Record a failed run; return until when the worker gets no work.
@@ -69,7 +69,7 @@
         history.quarantined_until = now + pause
         return history.quarantined_until
 
-    def note_stalled(self, worker: str, now: float, workers: int) -> float:
+    def record_stall(self, worker: str, now: float, workers: int) -> float:
         """Record a stalled task; return until when the worker gets no work.
 
         Args:
--- a/src/primrosestile/programs/node.py
+++ b/src/primrosestile/programs/node.py
@@ -185,7 +185,7 @@
         state = self._metrics.state
         state.set({"name": "policy_age_seconds"}, self._policies.age)
         state.set({"name": "owner"}, float(self._scheduler is not None))
-        state.set({"name": "ownerships_given_up"}, float(self._election.given_up))
+        state.set({"name": "ownerships_given_up"}, float(self._election.resignations))
         if self._scheduler is not None:
             for name, value in self._scheduler.count().items():
                 state.set({"name": name}, value)
--- a/tools/bench/ablation.py
+++ b/tools/bench/ablation.py
@@ -42,14 +42,14 @@
 class NoSpeeds(Speeds):
     """Takes all workers as equally fast."""
 
-    def note_done(self, member: Member, now: float) -> None:
+    def record_success(self, member: Member, now: float) -> None:
         """Learn nothing."""
 
 
 class NoTrust(WorkerQuarantine):
     """Leaves no worker out, whatever fails there."""
 
-    def note_failed(
+    def record_failure(
         self, worker: str, job: str, seconds: float, now: float, workers: int
     ) -> float:
         """Return that it gets work at once."""
--- a/tools/bench/site_driver.py
+++ b/tools/bench/site_driver.py
@@ -309,7 +309,7 @@
             run = self._runs.pop(id(member.unit), None)
             if run is not None:
                 self._throw_away(run)
-        self._board.drop_worker(name, Proof.LIFE_OVER)
+        self._board.drop_worker(name, Proof.INCARNATION_OVER)
 
     def _admit(self, arrival: Arrival) -> None:
         servable = is_servable(self._workload, arrival)
@@ -335,7 +335,7 @@
         self._note_progress()
         plan = self._planner(self._board, self._durations, self._speeds, self._now)
         for rescue in plan.stall_restarts:
-            until = self._trust.note_stalled(
+            until = self._trust.record_stall(
                 rescue.worker.name, self._now, len(self._board.workers)
             )
             rescue.worker.quarantined_until = max(
@@ -394,7 +394,7 @@
         for index, member in enumerate(unit.members):
             position = index if unit.step.gang else unit.key.position
             seconds.append(arrival.seconds[position] * (FAR_FACTOR if far else 1.0))
-            self._board.note_up(member, self._now)
+            self._board.mark_up(member, self._now)
         done = self._saved.get(id(unit), 0.0)
         shares = [done] * unit.size
         run = _Run(unit, unit.run, self._now, self._now, seconds, shares, done > 0)
@@ -449,9 +449,9 @@
             self._note_failed(unit, run)
         members = list(unit.members)
         for member in members:
-            self._board.note_end(member.task, member.run, kind, "")
+            self._board.record_end(member.task, member.run, kind, "")
         for member in members:
-            self._board.note_gone(member, Proof.ENDED)
+            self._board.mark_gone(member, Proof.ENDED)
         if job.state.final and job.state is not JobState.CANCELLED:
             outcome = self._outcomes[job.job_id]
             outcome.ended_at = self._now
@@ -461,8 +461,8 @@
         first = unit.members[0]
         for member in unit.members:
             member.progressed_at = self._now
-            self._trust.note_done(member.worker)
-        self._speeds.note_done(first, self._now)
+            self._trust.record_success(member.worker)
+        self._speeds.record_success(first, self._now)
         if not run.resumed:
             seconds = self._now - run.began
             estimate = unit.step.estimate_seconds
@@ -473,7 +473,7 @@
         for member in unit.members:
             worker = self._board.workers[member.worker]
             if run.fails or self._failing[member.worker] > 0:
-                worker.quarantined_until = self._trust.note_failed(
+                worker.quarantined_until = self._trust.record_failure(
                     worker.name,
                     unit.job.job_id,
                     seconds,
@@ -503,7 +503,7 @@
                 self._throw_away(run)
         for member in list(unit.members):
             if not self._silent[member.worker]:
-                self._board.note_gone(member, Proof.ENDED)
+                self._board.mark_gone(member, Proof.ENDED)
 
     def _stop_again(self, unit: Unit, run: int) -> None:
         if unit.members and unit.run == run:
