--- a/src/primrosestile/decisions/work/plan.py
+++ b/src/primrosestile/decisions/work/plan.py
@@ -1,6 +1,6 @@
 """One pass over all waiting units: what starts where, and what is stopped for it.
 
-The pass examines the most urgent units first, within a bound on its duration.
+The pass examines the most urgent units first, at most `MAX_UNITS_EXAMINED` of them.
 """
 
 from dataclasses import dataclass
