--- a/src/primrosestile/decisions/access.py
+++ b/src/primrosestile/decisions/access.py
@@ -22,7 +22,7 @@
 BEARER = "bearer "
 # Longer than any token that an operator would issue. Without a limit an
 # unauthenticated caller could choose how much is hashed.
-TOKEN_LIMIT = 256
+TOKEN_LIMIT_CHARACTERS = 256
 
 
 class Scope(Enum):
@@ -85,7 +85,7 @@
 
     def find(self, token: str) -> Rights | None:
         """Return the rights of a token, or None."""
-        if not token or len(token) > TOKEN_LIMIT:
+        if not token or len(token) > TOKEN_LIMIT_CHARACTERS:
             return None
         digest = hash_token(token)
         indexed = self._by_hash.get(digest)
--- a/src/primrosestile/decisions/admission.py
+++ b/src/primrosestile/decisions/admission.py
@@ -20,8 +20,8 @@
 # of the estimate makes it late. Only this share of the slack is used and the rest
 # absorbs the error: a refusal on arrival is better than one after nine seconds.
 USABLE_SLACK_SHARE = 0.7
-# A caller told to retry later than the maximum gives up instead; a retry sooner than
-# the minimum only adds load.
+# A caller that must wait longer than the maximum abandons its request; a retry sooner
+# than the minimum only adds load.
 MAX_RETRY_AFTER_SECONDS = 60.0
 MIN_RETRY_AFTER_SECONDS = 0.1
 
--- a/src/primrosestile/decisions/backfill.py
+++ b/src/primrosestile/decisions/backfill.py
@@ -4,7 +4,7 @@
 preview must not wait behind a night of renders, and a render must not be overtaken by
 short jobs for ever. So jobs are ordered by remaining work, with aging, and a job that
 has waited past a limit gets a reservation. Other jobs may use the reserved accelerators
-as long as they should, by learned run times, end before the reserved job can start.
+as long as they should, by measured run times, end before the reserved job can start.
 """
 
 from collections.abc import Iterable, Sequence
@@ -33,7 +33,7 @@
 # A job is ordered by the median run time of its class, and backfills only if nine in
 # ten of its class would end in time.
 ORDER_QUANTILE = 0.5
-FILL_QUANTILE = 0.9
+BACKFILL_QUANTILE = 0.9
 
 # Minimum share of the whole run time that counts as remaining. Without it a job with
 # more saved work than its class usually needs would look finished and go before all
@@ -45,7 +45,7 @@
     demands: Iterable[Demand],
     view: CellView,
     policy: Policy,
-    learned: RunTimes,
+    run_times: RunTimes,
     now: float,
 ) -> list[Demand]:
     """Order the waiting jobs, and make the reservation for one that waited too long.
@@ -56,7 +56,7 @@
         demands: All waiting jobs of the cell.
         view: The cell; its mix and reservation are replaced.
         policy: Weights of completion time and fragmentation.
-        learned: Learned run times.
+        run_times: Measured run times of the classes.
         now: Seconds, on the clock of the demands.
 
     Returns:
@@ -65,14 +65,14 @@
     waiting = list(demands)
     view.mix = weigh_shapes(view, waiting)
     ranked = [
-        (_rank(demand, view, policy, learned, now), demand.job_id, demand)
+        (_rank(demand, view, policy, run_times, now), demand.job_id, demand)
         for demand in waiting
     ]
     ranked.sort(key=lambda each: each[:2])
     ordered = [
         replace(
             demand,
-            expected_seconds=_estimate_remaining(demand, learned, FILL_QUANTILE),
+            expected_seconds=_estimate_remaining(demand, run_times, BACKFILL_QUANTILE),
         )
         for _, _, demand in ranked
     ]
@@ -86,7 +86,7 @@
 
 
 def _rank(
-    demand: Demand, view: CellView, policy: Policy, learned: RunTimes, now: float
+    demand: Demand, view: CellView, policy: Policy, run_times: RunTimes, now: float
 ) -> tuple[int, float]:
     age = max(0.0, now - demand.accepted_at)
     if demand.urgency is Urgency.URGENT:
@@ -95,7 +95,7 @@
         return (0 if is_entitled(view, demand) else 1), demand.accepted_at
     if is_overdue(demand, now):
         return 2, demand.accepted_at
-    seconds = _estimate_remaining(demand, learned, ORDER_QUANTILE)
+    seconds = _estimate_remaining(demand, run_times, ORDER_QUANTILE)
     # With all the weight on completion time, jobs are ordered by length times size,
     # which ends most jobs soonest. With all of it on fragmentation, size does not count
     # against a large job: it needs contiguous space while there is some.
@@ -105,9 +105,9 @@
     return 3, cost / (1.0 + age / AGING_SECONDS)
 
 
-def _estimate_remaining(demand: Demand, learned: RunTimes, quantile: float) -> float:
+def _estimate_remaining(demand: Demand, run_times: RunTimes, quantile: float) -> float:
     """Estimate the remaining run time in seconds, less saved work."""
-    whole = learned.estimate(demand.job_class, demand.declared_seconds, quantile)
+    whole = run_times.estimate(demand.job_class, demand.declared_seconds, quantile)
     return max(whole - demand.done_seconds, whole * MIN_REMAINING_SHARE)
 
 
--- a/src/primrosestile/decisions/capacity.py
+++ b/src/primrosestile/decisions/capacity.py
@@ -25,7 +25,7 @@
         self._leaving: frozenset[str] = frozenset()
         self._reported_leaving: dict[str, float] = {}
         self._paused: dict[str, float] = {}
-        self._excluded: set[str] = set()
+        self._ejected: set[str] = set()
         self._in_flight: dict[str, int] = {}
         self._allowed: dict[str, int] = {}
         self._free = SampledSet()
@@ -64,20 +64,20 @@
         computed, and an expiry only if no later grant has arrived.
         """
         grant = Grant(grants, until, until - self._now)
-        concerned = tuple(workers)
-        changed = self._allowances.set_grant(concerned, grant, self._now)
+        targets = tuple(workers)
+        changed = self._allowances.set_grant(targets, grant, self._now)
         self._refresh_all(changed)
-        self._expect_change(until, concerned, grant)
-        self._expect_change(grant.all_lapsed_at, concerned, grant)
+        self._schedule_refresh(until, targets, grant)
+        self._schedule_refresh(grant.all_lapsed_at, targets, grant)
 
     def advance(self, now: float) -> None:
         """Update to the time `now`: expire grants, pauses and reports of leaving."""
         self._now = max(self._now, now)
         while self._due and self._due[0][0] <= self._now:
-            _, _, concerned, grant = heapq.heappop(self._due)
+            _, _, targets, grant = heapq.heappop(self._due)
             if grant is not None:
-                concerned = self._allowances.list_covered_by(grant, concerned)
-            self._refresh_all(concerned)
+                targets = self._allowances.list_covered_by(grant, targets)
+            self._refresh_all(targets)
 
     def start(self, target: str) -> None:
         """Record the start of a request at a target."""
@@ -90,7 +90,7 @@
     def pause(self, target: str, seconds: float) -> None:
         """Stop sending to a target for some seconds."""
         self._paused[target] = self._now + seconds
-        self._expect_change(self._paused[target], (target,))
+        self._schedule_refresh(self._paused[target], (target,))
         self._refresh(target)
 
     def resume(self, target: str) -> None:
@@ -105,19 +105,19 @@
     def note_leaving(self, target: str) -> None:
         """Record that a target reports that it is leaving."""
         self._reported_leaving[target] = self._now + LEAVING_SECONDS
-        self._expect_change(self._reported_leaving[target], (target,))
+        self._schedule_refresh(self._reported_leaving[target], (target,))
         self._refresh(target)
 
-    def set_excluded(self, target: str, excluded: bool) -> None:
-        """Exclude a target from ordinary choice, or include it again."""
-        if excluded:
-            self._excluded.add(target)
+    def set_ejected(self, target: str, ejected: bool) -> None:
+        """Eject a target from ordinary choice, or readmit it."""
+        if ejected:
+            self._ejected.add(target)
         else:
-            self._excluded.discard(target)
+            self._ejected.discard(target)
         self._update_free(target)
 
     def has_room(self, target: str) -> bool:
-        """Whether a request may be sent to a target, even an excluded one."""
+        """Whether a request may be sent to a target, even an ejected one."""
         used = self._in_flight.get(target, 0)
         return used < self._allowed.get(target, 0) and target not in self._paused
 
@@ -150,14 +150,14 @@
             self._in_flight.pop(target, None)
         self._update_free(target)
 
-    def _expect_change(
-        self, time: float, concerned: tuple[str, ...], grant: Grant | None = None
+    def _schedule_refresh(
+        self, time: float, targets: tuple[str, ...], grant: Grant | None = None
     ) -> None:
         self._sequence += 1
-        heapq.heappush(self._due, (time, self._sequence, concerned, grant))
+        heapq.heappush(self._due, (time, self._sequence, targets, grant))
 
-    def _refresh_all(self, concerned: Iterable[str]) -> None:
-        for target in concerned:
+    def _refresh_all(self, targets: Iterable[str]) -> None:
+        for target in targets:
             self._refresh(target)
 
     def _refresh(self, target: str) -> None:
@@ -182,7 +182,7 @@
         return self._allowances.find(target, self._now)
 
     def _update_free(self, target: str) -> None:
-        if target not in self._excluded and self.has_room(target):
+        if target not in self._ejected and self.has_room(target):
             self._free.add(target)
         else:
             self._free.discard(target)
--- a/src/primrosestile/decisions/cell.py
+++ b/src/primrosestile/decisions/cell.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, workers: Sequence[Worker], promised: Sequence[tuple[str, Shape]]
+        self, workers: Sequence[Worker], guaranteed: Sequence[tuple[str, Shape]]
     ) -> None:
         self.workers = tuple(workers)
         self.index = {worker.name: each for each, worker in enumerate(workers)}
@@ -49,7 +49,7 @@
         self.free_counts = list(self.capacity)
         self.jobs_on: list[dict[str, int]] = [{} for _ in self.workers]
         self.layout = _make_layout(self.workers, self.usable)
-        self.allocations = CellAllocations(self.layout, promised)
+        self.allocations = CellAllocations(self.layout, guaranteed)
         self.mix: Mapping[Shape, float] = {}
         self.reservation: Reservation | None = None
         self.cached_fits: dict[Shape, bool] = {}
@@ -78,7 +78,7 @@
     @property
     def promised(self) -> tuple[tuple[str, Shape], ...]:
         """The guaranteed shapes of this cell, by organisation."""
-        return self.allocations.promised
+        return self.allocations.guaranteed
 
     @property
     def free(self) -> dict[str, int]:
@@ -113,7 +113,7 @@
         known = self._cached_borrowers.get(organisation)
         if known is not None:
             return known
-        left = self.count_promised(organisation)
+        left = self.count_guaranteed(organisation)
         borrowers = []
         for holding in sorted(self.list_held_by(organisation), key=_rank_for_guarantee):
             if holding.accelerators <= left:
@@ -246,12 +246,12 @@
         self.layout = _make_layout(self.workers, self.usable)
         self.allocations.set_layout(self.layout)
 
-    def set_promised(self, promised: Sequence[tuple[str, Shape]]) -> None:
+    def set_promised(self, guaranteed: Sequence[tuple[str, Shape]]) -> None:
         """Replace the guaranteed shapes after a change of settings or fleet."""
-        self.allocations.set_promised(promised)
+        self.allocations.set_guaranteed(guaranteed)
         self._cached_borrowers.clear()
 
-    def count_promised(self, organisation: str) -> int:
+    def count_guaranteed(self, organisation: str) -> int:
         """Return the number of accelerators guaranteed to an organisation here."""
         return sum(
             shape.accelerators for name, shape in self.promised if name == organisation
--- a/src/primrosestile/decisions/cell_allocations.py
+++ b/src/primrosestile/decisions/cell_allocations.py
@@ -43,14 +43,14 @@
     """Charges and allocations of one cell.
 
     Attributes:
-        promised: The units: organisation and shape.
+        guaranteed: The units: organisation and shape.
         charges: Unit that each charged job uses, by job id.
     """
 
     def __init__(
-        self, layout: Layout, promised: Sequence[tuple[str, Shape]] = ()
+        self, layout: Layout, guaranteed: Sequence[tuple[str, Shape]] = ()
     ) -> None:
-        self.promised = tuple(promised)
+        self.guaranteed = tuple(guaranteed)
         self.charges: dict[str, int] = {}
         self._layout = layout
         self._full_layout = layout
@@ -69,11 +69,11 @@
         self._layout = layout
         self.invalidate()
 
-    def set_promised(self, promised: Sequence[tuple[str, Shape]]) -> None:
+    def set_guaranteed(self, guaranteed: Sequence[tuple[str, Shape]]) -> None:
         """Replace the units, after a change of guarantees or of the fleet."""
-        if tuple(promised) == self.promised:
+        if tuple(guaranteed) == self.guaranteed:
             return
-        self.promised = tuple(promised)
+        self.guaranteed = tuple(guaranteed)
         self.charges.clear()
         self._suspended.clear()
         self._full = None
@@ -169,14 +169,14 @@
         """Order an organisation's units that are not lost, see `cell_charges`."""
         lost = self.lost
         used = frozenset(self.charges.values())
-        ordered = order_units(self.promised, organisation, used)
+        ordered = order_units(self.guaranteed, organisation, used)
         return [unit for unit in ordered if unit not in lost]
 
     def list_charges(self, organisation: str, shape: Shape) -> Options:
         """List the units, except lost ones, that work of a shape could use."""
         lost = self.lost
         used = frozenset(self.charges.values())
-        options = order_charges(self.promised, organisation, used, shape)
+        options = order_charges(self.guaranteed, organisation, used, shape)
         return Options(
             tuple(unit for unit in options.preferred if unit not in lost),
             tuple(unit for unit in options.others if unit not in lost),
@@ -220,7 +220,7 @@
     def _make_full(self) -> "CellAllocations":
         """Make the allocations for the cell with all workers usable."""
         if self._full is None:
-            self._full = CellAllocations(self._full_layout, self.promised)
+            self._full = CellAllocations(self._full_layout, self.guaranteed)
             for job_id, pinned in self._pinned.items():
                 self._full.pin(job_id, pinned)
             self._full.invalidate()
@@ -345,7 +345,7 @@
         return None
 
     def _list_needs(self) -> list[Need]:
-        return list_needs(self.promised, self.charges, self._pinned)
+        return list_needs(self.guaranteed, self.charges, self._pinned)
 
     def _find_kept(
         self, needs: Sequence[Need], available: Sequence[int]
@@ -375,7 +375,7 @@
                 del self.charges[job_id]
             allocations = self._find_kept(self._list_needs(), self.list_available())
         if allocations is None and self._may_recharge:
-            recharge = RechargeSearch(self._layout, self.promised, self._pinned)
+            recharge = RechargeSearch(self._layout, self.guaranteed, self._pinned)
             allocations = recharge.run()
             if allocations is not None:
                 self.charges = recharge.charges
--- a/src/primrosestile/decisions/cell_charges.py
+++ b/src/primrosestile/decisions/cell_charges.py
@@ -26,7 +26,7 @@
 # than the work; the cell then waits for some of it to end.
 RECHARGE_JOB_LIMIT = 300
 
-Promised = Sequence[tuple[str, Shape]]
+GuaranteedUnits = Sequence[tuple[str, Shape]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,25 +56,29 @@
 
 
 def list_needs(
-    promised: Promised, charges: Mapping[str, int], pinned: Mapping[str, Pinned]
+    guaranteed: GuaranteedUnits,
+    charges: Mapping[str, int],
+    pinned: Mapping[str, Pinned],
 ) -> list[Need]:
     """Return each unit's shape with the work that is charged to it."""
-    needs = [Need(shape) for _, shape in promised]
+    needs = [Need(shape) for _, shape in guaranteed]
     for job_id, unit in charges.items():
         needs[unit] = add_charge(needs[unit], pinned[job_id].counts)
     return needs
 
 
 def order_units(
-    promised: Promised, organisation: str, used: frozenset[int]
+    guaranteed: GuaranteedUnits, organisation: str, used: frozenset[int]
 ) -> list[int]:
     """Order an organisation's units by which its next work should use first.
 
     A unit in use is filled before another is started, and a small one is used before a
     large one, so that large ones stay whole.
     """
-    own = [unit for unit, (name, _) in enumerate(promised) if name == organisation]
-    own.sort(key=lambda unit: (unit not in used, promised[unit][1].accelerators, unit))
+    own = [unit for unit, (name, _) in enumerate(guaranteed) if name == organisation]
+    own.sort(
+        key=lambda unit: (unit not in used, guaranteed[unit][1].accelerators, unit)
+    )
     return own
 
 
@@ -98,7 +102,7 @@
 
 
 def order_charges(
-    promised: Promised, organisation: str, used: frozenset[int], shape: Shape
+    guaranteed: GuaranteedUnits, organisation: str, used: frozenset[int], shape: Shape
 ) -> Options:
     """Order the units that work of a shape could use.
 
@@ -107,17 +111,17 @@
     allocations rather than into a larger unit: a non-preemptible caption job on one
     accelerator would block its own organisation's render of a whole rack.
     """
-    own = order_units(promised, organisation, used)
+    own = order_units(guaranteed, organisation, used)
     unused = [unit for unit in own if unit not in used]
-    fitting = [unit for unit in unused if promised[unit][1] == shape]
+    fitting = [unit for unit in unused if guaranteed[unit][1] == shape]
     if not fitting:
         filled = [
             unit
             for unit in unused
-            if 2 * shape.accelerators > promised[unit][1].accelerators
+            if 2 * shape.accelerators > guaranteed[unit][1].accelerators
         ]
         fitting = [
-            unit for unit in filled if promised[unit][1] == promised[filled[0]][1]
+            unit for unit in filled if guaranteed[unit][1] == guaranteed[filled[0]][1]
         ]
     preferred = [unit for unit in own if unit in used] + fitting
     others = [unit for unit in unused if unit not in fitting]
@@ -128,17 +132,17 @@
     """Backtracking search that charges all work again."""
 
     def __init__(
-        self, layout: Layout, promised: Promised, pinned: Mapping[str, Pinned]
+        self, layout: Layout, guaranteed: GuaranteedUnits, pinned: Mapping[str, Pinned]
     ) -> None:
         self.charges: dict[str, int] = {}
         self._layout = layout
-        self._promised = promised
+        self._guaranteed = guaranteed
         self._pinned = pinned
         self._work = sorted(
             (job_id for job_id, work in pinned.items() if work.is_usable(layout)),
             key=lambda job_id: (-pinned[job_id].accelerators, job_id),
         )
-        self._steps = RECHARGE_STEP_LIMIT // max(1, len(promised))
+        self._steps = RECHARGE_STEP_LIMIT // max(1, len(guaranteed))
 
     def run(self) -> list[Allocation] | None:
         """Return the allocations of all units for `charges`, None if not found."""
@@ -164,7 +168,7 @@
             left[worker] -= count
         used = frozenset(self.charges.values())
         for unit in order_charges(
-            self._promised, work.organisation, used, work.shape
+            self._guaranteed, work.organisation, used, work.shape
         ).every:
             self._steps -= 1
             if self._steps < 0:
@@ -179,7 +183,7 @@
         return None
 
     def _find(self, available: list[int]) -> list[Allocation] | None:
-        needs = list_needs(self._promised, self.charges, self._pinned)
+        needs = list_needs(self._guaranteed, self.charges, self._pinned)
         return find_allocations(self._layout, available, needs)
 
 
--- a/src/primrosestile/decisions/cell_records.py
+++ b/src/primrosestile/decisions/cell_records.py
@@ -15,8 +15,8 @@
         checkpoints: Whether its progress can be saved first.
         started_at: Seconds, on the same clock as the `now` of decisions.
         checkpointed_at: When its progress was last saved; at first `started_at`.
-        job_class: The key under which its run time is learned.
-        ends_at: When it is expected to end, by learned run times; 0.0 if unknown.
+        job_class: The key under which its run time is measured.
+        ends_at: When it is expected to end, by measured run times; 0.0 if unknown.
     """
 
     job_id: str
@@ -45,8 +45,8 @@
     Attributes:
         accepted_at: Seconds, on the same clock as the `now` of decisions.
         declared_seconds: The caller's estimate of its run time.
-        expected_seconds: Conservative learned run time, filled in by `order_demands`;
-            0.0 if unknown.
+        expected_seconds: Conservative estimate of its run time, filled in by
+            `order_demands`; 0.0 if unknown.
         done_seconds: Work checkpointed by an earlier attempt.
     """
 
--- a/src/primrosestile/decisions/cell_selection.py
+++ b/src/primrosestile/decisions/cell_selection.py
@@ -20,10 +20,10 @@
     Attributes:
         free: Free accelerators by usable worker.
         waiting: Jobs that wait there.
-        promised: Whether the job's organisation has a guarantee there that holds the
+        guaranteed: Whether the job's organisation has a guarantee there that holds the
             shape.
-        fresh: Whether its owner has sent a digest lately.
-        handed: Accelerators requested by the jobs that this process has sent there
+        fresh: Whether its owner has sent a digest recently.
+        sent_accelerators: Those requested by the jobs that this process has sent there
             since the owner's latest digest. Without them a burst within one second
             would all go to the cell that was the best at its beginning.
     """
@@ -31,7 +31,7 @@
     cell: str
     free: Mapping[str, int]
     waiting: int
-    promised: bool
+    guaranteed: bool
     fresh: bool
     handed: int = 0
 
@@ -56,7 +56,7 @@
 
 
 # A waiting job moves once another cell could start it at once, but not before its own
-# cell has had the time to reclaim capacity, which takes a round or two of seconds.
+# cell has had the time to reclaim capacity, which takes a second or two.
 MOVE_AFTER_SECONDS = 4.0
 # Urgent work has 5.8 s to start, of which a move and a start may take three.
 MOVE_URGENT_AFTER_SECONDS = 1.5
@@ -80,7 +80,7 @@
 
 
 def decide_move(
-    question: MoveQuery, here: CellSummary, others: Sequence[CellSummary]
+    query: MoveQuery, here: CellSummary, others: Sequence[CellSummary]
 ) -> str | None:
     """Return the cell to which a waiting job should move, or None.
 
@@ -91,17 +91,17 @@
     """
     lost = not here.is_working
     wait_limit = MOVE_AFTER_SECONDS
-    if question.urgency is Urgency.URGENT or lost:
+    if query.urgency is Urgency.URGENT or lost:
         wait_limit = MOVE_URGENT_AFTER_SECONDS
-    if question.waited < wait_limit or (question.entitled and not lost):
+    if query.waited < wait_limit or (query.entitled and not lost):
         return None
     candidates = [
         summary
         for summary in others
         if summary.is_working
-        and (lost or (has_room(summary, question.shape) and summary.waiting == 0))
+        and (lost or (has_room(summary, query.shape) and summary.waiting == 0))
     ]
-    return choose_cell(candidates, question.shape)
+    return choose_cell(candidates, query.shape)
 
 
 def choose_cell(summaries: Sequence[CellSummary], shape: Shape) -> str | None:
@@ -119,7 +119,7 @@
         return (
             not summary.is_working,
             not room,
-            not summary.promised,
+            not summary.guaranteed,
             summary.waiting,
             total if room else -total,
             summary.cell,
--- a/src/primrosestile/decisions/defragmentation.py
+++ b/src/primrosestile/decisions/defragmentation.py
@@ -88,7 +88,7 @@
 
 
 def _is_movable(view: CellView, holding: Holding) -> bool:
-    # Urgent jobs are not moved: somebody waits for them, and they end soon anyway.
+    # Urgent jobs are not moved: a person waits for them, and they end soon anyway.
     return (
         holding.evictable
         and holding.urgency is Urgency.PATIENT
--- a/src/primrosestile/decisions/fairness.py
+++ b/src/primrosestile/decisions/fairness.py
@@ -150,14 +150,16 @@
         waiting = entry.waiting
         if waiting is None:
             return
-        owner = self._organisations.get(waiting.organisation)
-        if owner is None:
-            owner = self._organisations[waiting.organisation] = _OrganisationFlow()
-        flow = owner.find_class(waiting.class_key)
+        organisation = self._organisations.get(waiting.organisation)
+        if organisation is None:
+            organisation = self._organisations[waiting.organisation] = (
+                _OrganisationFlow()
+            )
+        flow = organisation.find_class(waiting.class_key)
         flow.entries.append(entry)
-        self._count(owner, flow, 1, entry.work)
-        owner.class_heap.add_idle(flow)
-        self._organisation_heap.add_idle(owner)
+        self._count(organisation, flow, 1, entry.work)
+        organisation.class_heap.add_idle(flow)
+        self._organisation_heap.add_idle(organisation)
 
     def take(self, accept: Callable[[QueuedRequest], bool] | None) -> Entry | None:
         """Remove and return the next entry that `accept` takes.
@@ -165,28 +167,32 @@
         The returned entry keeps its request.
         """
         tries = MAX_TRIES
-        popped_owners: list[_Flow] = []
+        popped_organisations: list[_Flow] = []
         taken: Entry | None = None
-        while taken is None and tries > 0 and (owner := self._organisation_heap.pop()):
-            assert isinstance(owner, _OrganisationFlow)
-            taken, tries = self._take_from(owner, accept, tries)
-            popped_owners.append(owner)
+        while (
+            taken is None
+            and tries > 0
+            and (organisation := self._organisation_heap.pop())
+        ):
+            assert isinstance(organisation, _OrganisationFlow)
+            taken, tries = self._take_from(organisation, accept, tries)
+            popped_organisations.append(organisation)
             if taken is not None:
-                self._organisation_heap.charge(owner, taken.work)
-        for owner in popped_owners:
-            if owner.count:
-                self._organisation_heap.add_popped(owner)
+                self._organisation_heap.charge(organisation, taken.work)
+        for organisation in popped_organisations:
+            if organisation.count:
+                self._organisation_heap.add_popped(organisation)
         return taken
 
     def _take_from(
         self,
-        owner: _OrganisationFlow,
+        organisation: _OrganisationFlow,
         accept: Callable[[QueuedRequest], bool] | None,
         tries: int,
     ) -> tuple[Entry | None, int]:
         popped: list[_ClassFlow] = []
         taken: Entry | None = None
-        while taken is None and tries > 0 and (flow := owner.class_heap.pop()):
+        while taken is None and tries > 0 and (flow := organisation.class_heap.pop()):
             assert isinstance(flow, _ClassFlow)
             popped.append(flow)
             entry = flow.find_head()
@@ -196,11 +202,11 @@
             if accept is None or accept(entry.waiting):
                 taken = replace(entry)
                 flow.entries.popleft()
-                self._count(owner, flow, -1, -entry.work)
-                owner.class_heap.charge(flow, entry.work)
+                self._count(organisation, flow, -1, -entry.work)
+                organisation.class_heap.charge(flow, entry.work)
         for flow in popped:
             if flow.count:
-                owner.class_heap.add_popped(flow)
+                organisation.class_heap.add_popped(flow)
         return taken, tries
 
     def discard(self, entry: Entry) -> QueuedRequest | None:
@@ -209,16 +215,16 @@
         if waiting is None:
             return None
         entry.waiting = None
-        owner = self._organisations[waiting.organisation]
-        flow = owner.classes[waiting.class_key]
-        self._count(owner, flow, -1, -entry.work)
+        organisation = self._organisations[waiting.organisation]
+        flow = organisation.classes[waiting.class_key]
+        self._count(organisation, flow, -1, -entry.work)
         flow.drop_removed()
         return waiting
 
     def _count(
-        self, owner: _OrganisationFlow, flow: _ClassFlow, one: int, work: float
+        self, organisation: _OrganisationFlow, flow: _ClassFlow, one: int, work: float
     ) -> None:
-        for each in (owner, flow):
+        for each in (organisation, flow):
             each.count += one
             # Sums of floats drift; an empty queue has exactly no work.
             each.work = each.work + work if each.count else 0.0
@@ -227,11 +233,11 @@
 
     def count_of(self, waiting: QueuedRequest) -> tuple[int, int]:
         """Return how many wait of its organisation, and of its class."""
-        owner = self._organisations.get(waiting.organisation)
-        if owner is None:
+        organisation = self._organisations.get(waiting.organisation)
+        if organisation is None:
             return 0, 0
-        flow = owner.classes.get(waiting.class_key)
-        return owner.count, flow.count if flow else 0
+        flow = organisation.classes.get(waiting.class_key)
+        return organisation.count, flow.count if flow else 0
 
     def work_ahead(self, waiting: QueuedRequest, work: float) -> float:
         """Return the seconds of work that are served before a new request of its kind.
@@ -239,33 +245,33 @@
         With fair sharing an organisation waits for its own work, and for as much of
         each other organisation's, at most all that it has. The same holds for classes.
         """
-        owner = self._organisations.get(waiting.organisation)
-        own = self._own_work(owner, waiting.class_key, work)
+        organisation = self._organisations.get(waiting.organisation)
+        own = self._own_work(organisation, waiting.class_key, work)
         reach = own + work
-        others = self.work - (owner.work if owner else 0.0)
+        others = self.work - (organisation.work if organisation else 0.0)
         if others <= 0:
             return own
         for other in self._organisations.values():
-            if other is not owner and other.work:
+            if other is not organisation and other.work:
                 own += min(other.work, reach)
         return own
 
     def _own_work(
-        self, owner: _OrganisationFlow | None, key: tuple[str, str], work: float
+        self, organisation: _OrganisationFlow | None, key: tuple[str, str], work: float
     ) -> float:
-        if owner is None:
+        if organisation is None:
             return 0.0
-        flow = owner.classes.get(key)
+        flow = organisation.classes.get(key)
         own = flow.work if flow else 0.0
         reach = own + work
-        for other in owner.classes.values():
+        for other in organisation.classes.values():
             if other is not flow and other.work:
                 own += min(other.work, reach)
         return own
 
     def class_entries(self) -> Iterator[list[Entry]]:
         """Yield the waiting entries of each class, oldest first."""
-        for owner in self._organisations.values():
-            for flow in owner.classes.values():
+        for organisation in self._organisations.values():
+            for flow in organisation.classes.values():
                 if flow.count:
                     yield [each for each in flow.entries if each.waiting is not None]
--- a/src/primrosestile/decisions/fragmentation.py
+++ b/src/primrosestile/decisions/fragmentation.py
@@ -19,7 +19,7 @@
 # Share of the mix that the guaranteed shapes keep, however small the waiting jobs are.
 # Without it a night of small jobs would fragment the cell, and the large jobs of the
 # morning would have to stop them.
-PROMISED_SHARE = 0.5
+GUARANTEED_SHARE = 0.5
 
 # Maximum number of distinct shapes in the mix; those with the most requested
 # accelerators are kept. It bounds the cost of a score when callers use many shapes.
@@ -57,16 +57,16 @@
     Returns:
         Weights that sum to 1, by shape.
     """
-    promised: dict[Shape, float] = {}
+    guaranteed: dict[Shape, float] = {}
     for _, shape in view.promised or (("", DEFAULT_SHAPE),):
-        promised[shape] = promised.get(shape, 0.0) + shape.accelerators
+        guaranteed[shape] = guaranteed.get(shape, 0.0) + shape.accelerators
     waiting: dict[Shape, float] = {}
     for demand in demands:
         shape = demand.shape
         waiting[shape] = waiting.get(shape, 0.0) + shape.accelerators
-    share = PROMISED_SHARE if waiting else 1.0
+    share = GUARANTEED_SHARE if waiting else 1.0
     mix: dict[Shape, float] = {}
-    for shapes, weight in ((promised, share), (waiting, 1.0 - share)):
+    for shapes, weight in ((guaranteed, share), (waiting, 1.0 - share)):
         total = sum(shapes.values())
         for shape, amount in shapes.items():
             mix[shape] = mix.get(shape, 0.0) + weight * amount / total
--- a/src/primrosestile/decisions/guarantees.py
+++ b/src/primrosestile/decisions/guarantees.py
@@ -52,7 +52,7 @@
 
     @property
     def left(self) -> int:
-        """Accelerators that are not guaranteed to anybody."""
+        """Accelerators that are not guaranteed to any organisation."""
         return sum(self.layout.capacity) - sum(
             unit.shape.accelerators for unit in self.units
         )
--- a/src/primrosestile/decisions/outliers.py
+++ b/src/primrosestile/decisions/outliers.py
@@ -2,8 +2,8 @@
 
 A target that fails at once is always free, so it attracts requests faster than any
 healthy one; a target that is ten times slower occupies a slot for the time of ten
-requests. Both are told from noise by comparison with the fleet. Only a bounded share
-is ejected: if all targets are bad, there is nothing better to use.
+requests. Both are distinguished from noise by comparison with the fleet. Only a
+bounded share is ejected: if all targets are bad, there is nothing better to use.
 """
 
 import math
--- a/src/primrosestile/decisions/placement.py
+++ b/src/primrosestile/decisions/placement.py
@@ -247,12 +247,10 @@
     if fits and view.reservation is not None and demand.evictable:
         detail += f"; they are reserved for {view.reservation.job_id}"
     elif fits:
-        detail += (
-            "; it cannot be stopped, and the free accelerators are guaranteed to others"
-        )
+        detail += "; it is not preemptible, and what is free is guaranteed to others"
         return Waits(ReasonCode.WAITS_FOR_GUARANTEE, detail, RETRY_SECONDS)
     elif entitled:
-        detail += "; its guarantee is in use by work that cannot be stopped"
+        detail += "; its guarantee is in use by non-preemptible work"
     elif demand.urgency is Urgency.PATIENT:
         detail += "; it waits for work to end"
     return Waits(ReasonCode.WAITS_FOR_ROOM, detail, RETRY_SECONDS)
--- a/src/primrosestile/decisions/poll_intervals.py
+++ b/src/primrosestile/decisions/poll_intervals.py
@@ -33,18 +33,18 @@
 
 
 def choose_poll_seconds(
-    lease_seconds: float, jobs_wait: bool, workers_followed: int
+    lease_seconds: float, jobs_wait: bool, workers_polled: int
 ) -> float:
     """Return the seconds between two polls of one worker.
 
     Args:
         lease_seconds: Time to live of leases on workers.
         jobs_wait: Whether jobs wait for capacity in the worker's cell.
-        workers_followed: By this process, over all its cells.
+        workers_polled: By this process, over all its cells.
     """
     idle_seconds = lease_seconds / POLLS_PER_LEASE
     if not jobs_wait:
         return idle_seconds
     return min(
-        idle_seconds, max(BUSY_POLL_SECONDS, workers_followed / MAX_POLLS_PER_SECOND)
+        idle_seconds, max(BUSY_POLL_SECONDS, workers_polled / MAX_POLLS_PER_SECOND)
     )
--- a/src/primrosestile/decisions/quarantine.py
+++ b/src/primrosestile/decisions/quarantine.py
@@ -3,7 +3,7 @@
 A job that fails everywhere is no evidence against the workers that it ran on, and a
 worker on which everything fails is none against the jobs. Counting failures by
 worker alone would let one poison job put a whole cell out of use; counting them by
-job alone would let one broken worker condemn every job that runs there. So a
+job alone would let one broken worker mark every job that runs there as bad. So a
 failure counts against a worker only as far as the same subject succeeds elsewhere,
 and against a subject only over several workers.
 """
@@ -15,7 +15,7 @@
 
 # Failures that must count against a worker, and different workers on which a
 # subject must have failed. Two can be chance; each one more costs a failed job.
-MIN_CROSSED_FAILURES = 3
+MIN_DISTINCT_FAILURES = 3
 # A worker is suspect when more than half of its latest runs failed.
 SUSPECT_FAILURE_SHARE = 0.5
 # Runs kept of each worker and of each subject.
@@ -37,7 +37,7 @@
     """A worker that gets only canary runs.
 
     Attributes:
-        since: When it was put there, on the loop's clock.
+        since: When it was quarantined, on the loop's clock.
         canary_after: When the next canary may run.
         reason: For people.
     """
@@ -64,14 +64,15 @@
 @dataclass(slots=True)
 class _Quarantine:
     since: float
-    seconds: float
+    canary_delay: float
     canary_after: float
-    share: float
+    failure_share: float
     canaries: int = 0
 
     def describe(self) -> str:
         return (
-            f"{self.share:.0%} of its latest runs failed, of work that runs elsewhere"
+            f"{self.failure_share:.0%} of its latest runs failed, "
+            "of work that runs elsewhere"
         )
 
 
@@ -114,7 +115,7 @@
         runs = self._subjects.get(subject, ())
         if any(not run.failed for run in runs):
             return False
-        return len({run.other for run in runs}) >= MIN_CROSSED_FAILURES
+        return len({run.other for run in runs}) >= MIN_DISTINCT_FAILURES
 
     def decide(self, workers: Sequence[str], now: float) -> tuple[Quarantined, ...]:
         """Return the workers of the cell that are in quarantine from now on.
@@ -162,7 +163,8 @@
     def _release_excess(self, max_quarantined: int) -> None:
         """Release the least bad workers when the settings allow fewer."""
         worst = sorted(
-            self._quarantined, key=lambda worker: -self._quarantined[worker].share
+            self._quarantined,
+            key=lambda worker: -self._quarantined[worker].failure_share,
         )
         for worker in worst[max_quarantined:]:
             del self._quarantined[worker]
@@ -174,7 +176,7 @@
         here: it may be at fault itself.
         """
         since = now - FAILURE_WINDOW_SECONDS
-        blame, succeeded = 0.0, 0
+        weighted_failures, succeeded = 0.0, 0
         unknown: set[str] = set()
         for run in self._workers.get(worker, ()):
             if run.time <= since:
@@ -186,9 +188,13 @@
             if share is None:
                 unknown.add(run.other)
             else:
-                blame += 1 - share
-        blame += len(unknown)
-        return blame / (blame + succeeded) if blame >= MIN_CROSSED_FAILURES else 0.0
+                weighted_failures += 1 - share
+        weighted_failures += len(unknown)
+        return (
+            weighted_failures / (weighted_failures + succeeded)
+            if weighted_failures >= MIN_DISTINCT_FAILURES
+            else 0.0
+        )
 
     def _share_failed_elsewhere(self, subject: str, worker: str) -> float | None:
         """Return what share of a subject's runs on other workers failed."""
@@ -215,8 +221,10 @@
         if self._share_failed_elsewhere(subject, worker) == 1:
             return
         quarantine.canaries = 0
-        quarantine.seconds = min(MAX_CANARY_DELAY_SECONDS, quarantine.seconds * 2)
-        quarantine.canary_after = now + quarantine.seconds
+        quarantine.canary_delay = min(
+            MAX_CANARY_DELAY_SECONDS, quarantine.canary_delay * 2
+        )
+        quarantine.canary_after = now + quarantine.canary_delay
 
 
 def _append(runs: dict[str, list[Run]], key: str, run: Run) -> None:
--- a/src/primrosestile/decisions/reclaim.py
+++ b/src/primrosestile/decisions/reclaim.py
@@ -1,6 +1,6 @@
 """Choice of the victims that are stopped for a guaranteed or urgent job.
 
-Idle guaranteed capacity is lent to preemptible work of anybody. It must come back at
+Idle guaranteed capacity is lent to any preemptible work. It must come back at
 once and at the least cost for the borrower, so the victims are those that lose the
 least work.
 """
@@ -64,8 +64,8 @@
     For an urgent job, its organisation's own preemptible patient work does not count:
     the organisation may use its guarantee for urgent work first.
     """
-    promised = view.count_promised(demand.organisation)
-    if demand.shape.accelerators > promised:
+    guaranteed = view.count_guaranteed(demand.organisation)
+    if demand.shape.accelerators > guaranteed:
         return False
     urgent = demand.urgency is Urgency.URGENT
     held = sum(
@@ -73,7 +73,7 @@
         for holding in view.list_held_by(demand.organisation)
         if not (urgent and holding.evictable and holding.urgency is Urgency.PATIENT)
     )
-    return held + demand.shape.accelerators <= promised
+    return held + demand.shape.accelerators <= guaranteed
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/primrosestile/decisions/request_queue.py
+++ b/src/primrosestile/decisions/request_queue.py
@@ -221,9 +221,9 @@
         """
         free = self._policy.queue_limit - len(self._entries)
         of_organisation, of_class = self._queues[waiting.urgency].count_of(waiting)
-        organisation_room = int(ORGANISATION_PLACES_FACTOR * free) - of_organisation
-        class_room = int(CLASS_PLACES_FACTOR * free) - of_class
-        return min(free, organisation_room, class_room)
+        organisation_places = int(ORGANISATION_PLACES_FACTOR * free) - of_organisation
+        class_places = int(CLASS_PLACES_FACTOR * free) - of_class
+        return min(free, organisation_places, class_places)
 
     def _spread_retry(
         self, refusal: Refusal, waiting: QueuedRequest, run: float, now: float
@@ -232,7 +232,7 @@
 
         For hundreds of refusals a second. With the same retry time, all callers
         would retry at once and all but a few be refused again. So each refusal books
-        the drain time of its own work, and the next one is told a later time.
+        the drain time of its own work, and the next one states a later time.
         """
         first = now + refusal.retry_after
         self._booked_until = max(self._booked_until, first)
--- a/src/primrosestile/decisions/routing.py
+++ b/src/primrosestile/decisions/routing.py
@@ -302,7 +302,7 @@
 
     def _update_ejected(self) -> None:
         for target in self._outliers.collect_changed():
-            self._capacity.set_excluded(target, self._outliers.is_ejected(target))
+            self._capacity.set_ejected(target, self._outliers.is_ejected(target))
 
     def _advance(self, now: float) -> None:
         self._capacity.advance(now)
--- a/src/primrosestile/decisions/run_times.py
+++ b/src/primrosestile/decisions/run_times.py
@@ -58,12 +58,12 @@
         rank = quantile * (len(ordered) - 1)
         low = int(rank)
         high = min(low + 1, len(ordered) - 1)
-        learned = ordered[low] + (ordered[high] - ordered[low]) * (rank - low)
+        measured = ordered[low] + (ordered[high] - ordered[low]) * (rank - low)
         count = len(ordered)
         if count >= 4 * DECLARED_WEIGHT_SAMPLES:
-            return learned
+            return measured
         weight = count / (count + DECLARED_WEIGHT_SAMPLES)
-        return float(learned**weight * max(declared, 0.001) ** (1.0 - weight))
+        return float(measured**weight * max(declared, 0.001) ** (1.0 - weight))
 
     def count(self, job_class_key: str) -> int:
         """Return how many runs of a class are kept."""
--- a/src/primrosestile/decisions/settings_change.py
+++ b/src/primrosestile/decisions/settings_change.py
@@ -90,11 +90,11 @@
     return change.faults + tuple(own)
 
 
-def describe_excluded_worker(left_out: ExcludedWorker) -> Fault:
+def describe_excluded_worker(excluded: ExcludedWorker) -> Fault:
     """Return the fault that reports an excluded worker."""
     return Fault(
-        f"{left_out.path}[{left_out.index}]",
-        f"the worker is ignored: {left_out.reason}",
+        f"{excluded.path}[{excluded.index}]",
+        f"the worker is ignored: {excluded.reason}",
         "Remove it there, or add its rack to the fleet.",
     )
 
--- a/src/primrosestile/decisions/settings_check.py
+++ b/src/primrosestile/decisions/settings_check.py
@@ -122,7 +122,7 @@
 
     Whether the fleet can hold all guarantees is checked `with_capacity` only.
     """
-    whole, faults = _check_shape(raw)
+    whole, faults = _check_structure(raw)
     faults += _check_numbers(raw)
     faults += _check_texts(raw)
     faults += _check_uniques(raw)
@@ -138,7 +138,7 @@
     return tuple(faults)
 
 
-def _check_shape(raw: Any) -> tuple[Settings | None, list[Fault]]:
+def _check_structure(raw: Any) -> tuple[Settings | None, list[Fault]]:
     try:
         text = json.dumps({"document": raw})
         return _Document.model_validate_json(text).document, []
--- a/src/primrosestile/decisions/settings_field_rules.py
+++ b/src/primrosestile/decisions/settings_field_rules.py
@@ -64,7 +64,7 @@
     noun: str
 
 
-DAY = 86_400.0
+DAY_SECONDS = 86_400.0
 NAME = r"[A-Za-z0-9][A-Za-z0-9_-]{0,62}"
 NAME_FORM = "1 to 63 letters, digits, '-' or '_', starting with a letter or digit"
 ADDRESS = r"(\d{1,3}\.){3}\d{1,3}:\d{1,5}(/[A-Za-z0-9._/-]*)?"
@@ -100,7 +100,7 @@
         "teams.*.classes.*.expected_seconds",
         "seconds",
         0.001,
-        7 * DAY,
+        7 * DAY_SECONDS,
         "declared run time",
     ),
     NumberRule(
--- a/src/primrosestile/decisions/settings_parts.py
+++ b/src/primrosestile/decisions/settings_parts.py
@@ -3,7 +3,7 @@
 A fleet of 15,000 workers is 2.5 MB of JSON, and the store allows one megabyte per
 value. So the workers of each failure domain are a value of their own. Two values
 cannot be changed atomically: a process may see the workers of a new rack before the
-rack, and if two operators change both at once the values may not match for good. A
+rack, and if two operators change both at once the values may stay inconsistent. A
 gang placed on a worker that two cells count, or that none owns, would be lost or run
 twice. So only workers that fit the fleet in force are used, and others are reported.
 """
@@ -54,7 +54,7 @@
     domains = {rack.name: rack.failure_domain for rack in fleet.racks}
     in_racks: dict[str, list[Worker]] = {rack.name: [] for rack in fleet.racks}
     names: set[str] = set()
-    left_out = []
+    excluded = []
     by_domain = {**_group_by_domain(fleet), **workers}
     for domain in sorted(by_domain):
         for index, worker in enumerate(by_domain[domain]):
@@ -65,12 +65,12 @@
                 reason = f"worker {worker.name!r} is already listed"
             if reason:
                 path = f"{WORKERS_PREFIX}{domain}"
-                left_out.append(ExcludedWorker(path, index, reason))
+                excluded.append(ExcludedWorker(path, index, reason))
                 continue
             names.add(worker.name)
             in_racks[worker.rack].append(worker)
     fitting = tuple(worker for rack in in_racks.values() for worker in rack)
-    return replace(fleet, workers=fitting), tuple(left_out)
+    return replace(fleet, workers=fitting), tuple(excluded)
 
 
 def _group_by_domain(fleet: Fleet) -> dict[str, tuple[Worker, ...]]:
--- a/src/primrosestile/decisions/settings_record_rules.py
+++ b/src/primrosestile/decisions/settings_record_rules.py
@@ -64,11 +64,11 @@
 
 
 def _check_shape(path: str, shape: Shape, fleet: Fleet) -> Iterator[Finding]:
-    room = measure_largest(fleet, shape.adjacency)
-    if shape.accelerators > room:
+    largest = measure_largest(fleet, shape.adjacency)
+    if shape.accelerators > largest:
         kind = shape.adjacency.value
         reason = f"{shape.accelerators} accelerators fit in no single {kind}"
-        yield path, reason, f"Use at most {room}, or a wider adjacency."
+        yield path, reason, f"Use at most {largest}, or a wider adjacency."
 
 
 def measure_largest(fleet: Fleet, adjacency: Adjacency) -> int:
--- a/src/primrosestile/decisions/settings_view.py
+++ b/src/primrosestile/decisions/settings_view.py
@@ -34,12 +34,12 @@
 
     def can_hold(self, shape: Shape) -> bool:
         """Whether the empty cell could hold a shape."""
-        most = {
+        largest = {
             Adjacency.WORKER: self.worker,
             Adjacency.RACK: self.rack,
             Adjacency.CELL: self.cell,
         }
-        return shape.accelerators <= most[shape.adjacency]
+        return shape.accelerators <= largest[shape.adjacency]
 
 
 class SettingsView:
--- a/src/primrosestile/decisions/slots.py
+++ b/src/primrosestile/decisions/slots.py
@@ -29,14 +29,14 @@
 GRANT_SECONDS = 3.0
 # Added by the owner for delivery: the entry counts a grant's time from its arrival.
 DELIVERY_SECONDS = 1.0
-# Bonus in slots for the entry that has a slot already: below one, so it only breaks
-# near ties, and avoids opening connections without need.
-KEEP_BONUS = 0.5
+# Bonus for the entry that has a slot already: below one, so it only breaks near ties,
+# and avoids opening connections without need.
+KEEP_BONUS_SLOTS = 0.5
 
 # A change of an entry's part below this share of an even part changes no grants.
 MIN_CHANGE_SHARE = 0.1
-# How long after a change held slots may still come free: until the last grant from
-# before it has certainly lapsed, and 1 s for one more round.
+# How long after a change held slots may still become free: until the last grant from
+# before it has certainly lapsed, and 1 s until the next grants are sent.
 SHARING_SETTLE_SECONDS = GRANT_SECONDS + DELIVERY_SECONDS + 1.0
 
 Grants = Mapping[str, Mapping[str, int]]
@@ -179,15 +179,15 @@
     free = count - sum(reserved.values())
     given = dict.fromkeys(credit, 0)
     for _ in range(count):
-        best, best_due = "", float("-inf")
-        for entry, due in credit.items():
+        best, best_credit = "", float("-inf")
+        for entry, entry_credit in credit.items():
             has_own = reserved.get(entry, 0) > given[entry]
             if not has_own and free <= 0:
                 continue
-            due += KEEP_BONUS if has_own else 0.0
-            if due > best_due:
-                best, best_due = entry, due
-        if not best or best_due <= -1.0:
+            entry_credit += KEEP_BONUS_SLOTS if has_own else 0.0
+            if entry_credit > best_credit:
+                best, best_credit = entry, entry_credit
+        if not best or best_credit <= -1.0:
             break
         if reserved.get(best, 0) <= given[best]:
             free -= 1
@@ -199,9 +199,9 @@
 class GrantLedger:
     """The grants of a cell's owner that may not have lapsed yet."""
 
-    def __init__(self, quiet_until: float) -> None:
-        self._quiet_until = quiet_until
-        self._settled = False
+    def __init__(self, no_grants_until: float) -> None:
+        self._no_grants_until = no_grants_until
+        self._safe_shares_counted = False
         self._latest: dict[str, dict[str, int]] = {}
         # By entry that joined: until when no grant is sent to it.
         self._withheld_until: dict[str, float] = {}
@@ -229,10 +229,10 @@
             in_flight: By entry and worker.
             now: Seconds of the loop's clock.
         """
-        if now < self._quiet_until:
+        if now < self._no_grants_until:
             return {}
-        if not self._settled:
-            self._settled = True
+        if not self._safe_shares_counted:
+            self._safe_shares_counted = True
             self._count_safe_shares(slots, demand, now)
         else:
             self._note_joined(demand, now)
@@ -254,7 +254,7 @@
 
         It uses the needs of the last significant change. With the latest needs,
         parts would differ by one slot each second, on changing workers, and slots
-        that come free would stay held.
+        that become free would stay held.
 
         Requests running under a safe share keep no slot, for the same reason: they
         change workers, and so would the slots that other entries hold.
@@ -267,7 +267,7 @@
         return share_slots(slots, self._settled_needs, kept, self.count_held(now))
 
     def _note_joined(self, demand: Mapping[str, int], now: float) -> None:
-        """Withhold grants from an entry that joins until slots come free for it.
+        """Withhold grants from an entry that joins until slots become free for it.
 
         For a VM that is replaced or added while all slots are granted to the other
         entries, which hold them until their grants lapse. With a grant of no slots
@@ -315,11 +315,11 @@
         held: dict[str, dict[str, int]] = {}
         for entry, by_worker in list(self._granted.items()):
             for worker, grants in list(by_worker.items()):
-                alive = [grant for grant in grants if grant[0] > now]
-                if alive:
-                    by_worker[worker] = alive
-                    most = max(count for _, count in alive)
-                    held.setdefault(entry, {})[worker] = most
+                unexpired = [grant for grant in grants if grant[0] > now]
+                if unexpired:
+                    by_worker[worker] = unexpired
+                    largest = max(count for _, count in unexpired)
+                    held.setdefault(entry, {})[worker] = largest
                 else:
                     del by_worker[worker]
             if not by_worker:
@@ -351,5 +351,5 @@
         now: Seconds of the loop's clock.
         took_over: Whether another owner may have granted slots until now.
     """
-    quiet = GRANT_SECONDS + DELIVERY_SECONDS if took_over else 0.0
-    return GrantLedger(now + quiet)
+    delay = GRANT_SECONDS + DELIVERY_SECONDS if took_over else 0.0
+    return GrantLedger(now + delay)
--- a/src/primrosestile/platform/advice.py
+++ b/src/primrosestile/platform/advice.py
@@ -19,7 +19,7 @@
 # Added to the expected answer time: the query may be queued behind another one.
 SLACK_SECONDS = 1.0
 # Tickets have about twenty characters, and are sent to the worker with each start.
-TICKET_LIMIT = 1000
+TICKET_LIMIT_CHARACTERS = 1000
 
 _KINDS = FailureKinds(ErrorKind.ADVICE_UNAVAILABLE, ErrorKind.ADVICE_UNAVAILABLE)
 
@@ -59,7 +59,7 @@
         try:
             answer = decode_json(reply.body, _Advice)
         except Unreadable as rejection:
-            self._rejections.settle(Source.ADVICE, "", {"answer": rejection})
+            self._rejections.replace(Source.ADVICE, "", {"answer": rejection})
             detail = f"unreadable answer: {rejection}"
             raise Failure(ErrorKind.ADVICE_UNAVAILABLE, detail) from rejection
         return self._read_rows(answer.good, workers)
@@ -73,7 +73,7 @@
                 allowed.append(_read_row(row, workers))
             except Unreadable as rejection:
                 rejected[f"row {rejection.fault}"] = rejection
-        self._rejections.settle(Source.ADVICE, "", rejected)
+        self._rejections.replace(Source.ADVICE, "", rejected)
         return Advice(tuple(allowed), complete=not rejected)
 
 
@@ -83,6 +83,6 @@
     worker, ticket = row[0], row[1]
     if worker not in workers:
         raise Unreadable(Fault.KEY, "row", row)
-    if not isinstance(ticket, str) or not 0 < len(ticket) <= TICKET_LIMIT:
+    if not isinstance(ticket, str) or not 0 < len(ticket) <= TICKET_LIMIT_CHARACTERS:
         raise Unreadable(Fault.FORM, "row", row)
     return AllowedWorker(worker, ticket)
--- a/src/primrosestile/platform/entries.py
+++ b/src/primrosestile/platform/entries.py
@@ -28,7 +28,7 @@
 _NAME = re.compile(r"[!-.0-~]{1,190}")
 # Far above any VM: thousandths of a core, megabytes, accelerators. An entry with larger
 # figures would appear to have capacity for everything.
-PROCESSOR_LIMIT = 10_000_000
+PROCESSOR_LIMIT_MILLICORES = 10_000_000
 MEMORY_LIMIT_MB = 100_000_000
 ACCELERATORS_LIMIT = 10_000
 # A day. A leaving worker stays for seconds to minutes.
@@ -114,7 +114,7 @@
         raise Unreadable(Fault.ADDRESS, "address", server.address)
     capacity = server.capacity
     if (
-        capacity.cpu > PROCESSOR_LIMIT
+        capacity.cpu > PROCESSOR_LIMIT_MILLICORES
         or capacity.mem_mb > MEMORY_LIMIT_MB
         or capacity.gpu > ACCELERATORS_LIMIT
     ):
--- a/src/primrosestile/platform/maintenance.py
+++ b/src/primrosestile/platform/maintenance.py
@@ -111,7 +111,7 @@
             vms += [self._read_vm(each, rejected) for each in page.machines]
             token = page.next_token or ""
             if not token:
-                self._rejections.settle(Source.VM, "", rejected)
+                self._rejections.replace(Source.VM, "", rejected)
                 return tuple(vms)
         raise Failure(ErrorKind.LIST_UNAVAILABLE, "the list does not end")
 
@@ -125,7 +125,7 @@
                 waves.append(_read_wave(entry))
             except Unreadable as rejection:
                 rejected[entry.key] = rejection
-        self._rejections.settle(Source.WAVE, "", rejected)
+        self._rejections.replace(Source.WAVE, "", rejected)
         return tuple(waves)
 
     async def begin(self, vm: str, wave: int, fence: int) -> MaintenanceAnswer:
@@ -198,7 +198,7 @@
         return WorkerVm(name, "", VmState.DOWN, "")
 
     def _reject(self, name: str, rejection: Unreadable) -> Failure:
-        self._rejections.settle(Source.VM, "", {name: rejection})
+        self._rejections.replace(Source.VM, "", {name: rejection})
         detail = f"unreadable answer: {rejection}"
         return Failure(ErrorKind.LIST_UNAVAILABLE, detail)
 
--- a/src/primrosestile/platform/policy.py
+++ b/src/primrosestile/platform/policy.py
@@ -17,8 +17,8 @@
 from primrosestile.state.policy import AdviceRules, CallLimits, Policy, Pool, Queue
 
 POLICY_KEY = "op/config"
-# A day: no timeout or objective is longer. A longer one can't be told from no deadline
-# at all.
+# A day: no timeout or objective is longer. A longer one can't be distinguished from
+# no deadline.
 MAX_DURATION_MS = 86_400_000.0
 
 _Text = Annotated[str, msgspec.Meta(min_length=1)]
@@ -169,4 +169,4 @@
             rejected[f"revision {entry.mod_revision}"] = rejection
             raise Failure(ErrorKind.MALFORMED, str(rejection)) from rejection
         finally:
-            self._rejections.settle(Source.POLICY, POLICY_KEY, rejected)
+            self._rejections.replace(Source.POLICY, POLICY_KEY, rejected)
--- a/src/primrosestile/platform/polls.py
+++ b/src/primrosestile/platform/polls.py
@@ -70,12 +70,12 @@
     if not isinstance(row, list) or len(row) < 2:
         raise Unreadable(Fault.FORM, "running", row)
     task, run = _check_run(row[0], row[1])
-    saved = row[2] if len(row) > 2 else None
+    checkpoint = row[2] if len(row) > 2 else None
     percent = _read_figure(row, 3, PERCENT_LIMIT)
     return RunningTask(
         task,
         run,
-        saved if isinstance(saved, str) else "",
+        checkpoint if isinstance(checkpoint, str) else "",
         0.0 if percent is None else percent,
         _read_figure(row, 4, USAGE_LIMIT),
     )
@@ -124,8 +124,10 @@
     kind = _ENDS.get(row[3]) if isinstance(row[3], str) else None
     if kind is None:
         raise Unreadable(Fault.STATE, "ended", row)
-    saved = row[4] if len(row) > 4 else None
-    return EndedTask(number, task, run, kind, saved if isinstance(saved, str) else "")
+    checkpoint = row[4] if len(row) > 4 else None
+    return EndedTask(
+        number, task, run, kind, checkpoint if isinstance(checkpoint, str) else ""
+    )
 
 
 def _check_run(task: Any, run: Any) -> tuple[str, int]:
@@ -138,8 +140,8 @@
     return task, run
 
 
-def _read_figure(row: list[Any], place: int, limit: float) -> float | None:
-    value = row[place] if len(row) > place else None
+def _read_figure(row: list[Any], index: int, limit: float) -> float | None:
+    value = row[index] if len(row) > index else None
     # In Python, bool is a subclass of int.
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
--- a/src/primrosestile/platform/rejections.py
+++ b/src/primrosestile/platform/rejections.py
@@ -15,9 +15,9 @@
 
 # Scopes (lists or workers) with current rejections. More than this are only made on
 # purpose; the oldest are dropped, and logged again if they persist.
-STANDING_LIMIT = 4096
-# Characters of a rejected value that a log line shows.
-DETAIL_LIMIT = 200
+SCOPE_LIMIT = 4096
+# Part of a rejected value that a log line shows.
+DETAIL_LIMIT_CHARACTERS = 200
 
 _log = structlog.get_logger()
 
@@ -66,12 +66,12 @@
     def detail(self) -> str:
         """Description of the value, for logs; truncated."""
         if self._found is None:
-            return self._what[:DETAIL_LIMIT]
+            return self._what[:DETAIL_LIMIT_CHARACTERS]
         try:
             shown = repr(self._found)
         except RecursionError:
             shown = "nested too deeply"
-        return f"{self._what} {shown:.{DETAIL_LIMIT}}"
+        return f"{self._what} {shown:.{DETAIL_LIMIT_CHARACTERS}}"
 
     def __str__(self) -> str:
         return f"{self.fault.value}: {self.detail}"
@@ -95,7 +95,7 @@
         raise Unreadable(Fault.NOT_JSON, "nested too deeply") from error
 
 
-Counting = Callable[[Source, Fault], None]
+RejectionCounter = Callable[[Source, Fault], None]
 
 
 def _count_nothing(source: Source, fault: Fault) -> None:
@@ -105,11 +105,11 @@
 class RejectionLog:
     """Current rejections of one process; logs and counts them when they change."""
 
-    def __init__(self, count: Counting = _count_nothing) -> None:
+    def __init__(self, count: RejectionCounter = _count_nothing) -> None:
         self._count = count
-        self._standing: dict[tuple[Source, str], dict[str, Fault]] = {}
+        self._current: dict[tuple[Source, str], dict[str, Fault]] = {}
 
-    def settle(
+    def replace(
         self, source: Source, scope: str, found: Mapping[str, Unreadable]
     ) -> None:
         """Replace the rejections of the previous reading by those of the latest one.
@@ -119,16 +119,16 @@
             scope: The list or worker that was read.
             found: The rejected values, by their key or row.
         """
-        place = (source, scope)
-        before = self._standing.pop(place, None)
+        scope_key = (source, scope)
+        before = self._current.pop(scope_key, None)
         if not found:
             return
         for name, rejection in found.items():
             if before is None or before.get(name) is not rejection.fault:
                 self._report(source, scope, name, rejection)
-        self._standing[place] = {name: each.fault for name, each in found.items()}
-        while len(self._standing) > STANDING_LIMIT:
-            del self._standing[next(iter(self._standing))]
+        self._current[scope_key] = {name: each.fault for name, each in found.items()}
+        while len(self._current) > SCOPE_LIMIT:
+            del self._current[next(iter(self._current))]
 
     def _report(
         self, source: Source, scope: str, name: str, rejection: Unreadable
--- a/src/primrosestile/platform/settings.py
+++ b/src/primrosestile/platform/settings.py
@@ -30,7 +30,8 @@
         leaving_notice_seconds: From a worker's announcement that it is leaving until it
             must get no new work.
         status_retention_seconds: How long the state of an ended job can be queried.
-        remote_slowdown: Factor by which a task takes longer away from its data or rack.
+        remote_slowdown: Factor by which a task takes longer when its step spans racks,
+            or its data is in another rack.
         duty_seconds: How long one process holds the right to order a machine.
         reclaim_seconds: From the acceptance of a guaranteed job until all of its first
             step must have started.
@@ -77,7 +78,7 @@
     store_address: str
     advice_address: str
     vm_list_address: str
-    heartbeat: float
+    heartbeat_seconds: float
     processor: float
     link: float
     bounds: Bounds
@@ -136,7 +137,7 @@
         store_address=values["platform.address"],
         advice_address=values.get("advice", ""),
         vm_list_address=values.get("cloud.address", ""),
-        heartbeat=float(values.get("heartbeat_ms", "1500")) / 1000,
+        heartbeat_seconds=float(values.get("heartbeat_ms", "1500")) / 1000,
         # The share is of a core that is `cores` times as fast as a standard one.
         processor=float(values.get("limits.cpu_share", "1"))
         * float(values.get("limits.cores", "1")),
--- a/src/primrosestile/platform/store.py
+++ b/src/primrosestile/platform/store.py
@@ -169,8 +169,8 @@
         # All items must be readable: a rejected one would count as a key that does not
         # exist, and the owner's own key as held by another process.
         items = _decode(reply, _NotDone).items
-        standing = [item for item in items if item.revision and not item.deleted]
-        return CommitResult(False, found=self._make_entries(standing, "", {}))
+        existing = [item for item in items if item.revision and not item.deleted]
+        return CommitResult(False, found=self._make_entries(existing, "", {}))
 
     async def grant_lease(self, seconds: float) -> int:
         """Return a new lease."""
@@ -226,7 +226,7 @@
             entries.append(
                 Entry(item.key, value, item.created, item.revision, item.lease)
             )
-        self._rejections.settle(Source.STORE_ITEM, scope, rejected)
+        self._rejections.replace(Source.STORE_ITEM, scope, rejected)
         return tuple(entries)
 
     async def _read(
@@ -259,7 +259,7 @@
 
     Only the store's own refusals prove that a call had no effect. Any other status may
     come from a proxy, or from a fault after the change was made: if it counted as a
-    refusal, a caller would be told that a job was not accepted although it runs.
+    refusal, a caller would learn that a job was not accepted although it runs.
     """
     if reply.status in accepted:
         return reply
--- a/src/primrosestile/platform/workers.py
+++ b/src/primrosestile/platform/workers.py
@@ -84,7 +84,7 @@
             poll, rejected = read_poll(reply.body)
         except Unreadable as rejection:
             raise self._reject(entry, rejection) from rejection
-        self._rejections.settle(Source.WORKER_ANSWER, entry.worker, rejected)
+        self._rejections.replace(Source.WORKER_ANSWER, entry.worker, rejected)
         return poll
 
     async def start(
@@ -163,7 +163,7 @@
     def _reject(self, entry: WorkerEntry, rejection: Unreadable) -> Failure:
         """Record an unreadable answer; return the failure to raise for it."""
         found = {"answer": rejection}
-        self._rejections.settle(Source.WORKER_ANSWER, entry.worker, found)
+        self._rejections.replace(Source.WORKER_ANSWER, entry.worker, found)
         return Failure(ErrorKind.WORKER_UNREACHABLE, f"unreadable answer: {rejection}")
 
 
@@ -211,7 +211,7 @@
                 found.append(read_worker(entry, pools))
             except Unreadable as rejection:
                 rejected[entry.key] = rejection
-        self._rejections.settle(Source.WORKER_ENTRY, "", rejected)
+        self._rejections.replace(Source.WORKER_ENTRY, "", rejected)
         names = frozenset(key.removeprefix(WORKERS_PREFIX) for key in rejected)
         return WorkerListing(tuple(found), names, await self._list_cordoned())
 
--- a/src/primrosestile/protocol/fleet.py
+++ b/src/primrosestile/protocol/fleet.py
@@ -117,7 +117,16 @@
         until: float | None,
         wait: float,
     ) -> PollAnswer | Refusal:
-        """Extend the lease, acknowledge ends up to a number, wait for a new end."""
+        """Extend the lease, acknowledge ends up to a number, wait for a new end.
+
+        Args:
+            entry: The worker.
+            fence: The caller's fence.
+            acknowledged: Number of the last end that the worker may drop.
+            until: Time on the worker's clock, in seconds, to which the lease is
+                extended; None to leave it as it is.
+            wait: Seconds to wait for a new end.
+        """
         ...
 
     async def start(
@@ -144,7 +153,7 @@
     """The workers' entries that were read from the store.
 
     Attributes:
-        refused: Names whose entries can't be read; no work is placed on them.
+        rejected: Names whose entries can't be read; no work is placed on them.
         cordoned: Failure domains that operators have closed to new work.
     """
 
--- a/src/primrosestile/protocol/maintenance.py
+++ b/src/primrosestile/protocol/maintenance.py
@@ -12,7 +12,7 @@
     `BEGUN`: it has begun, or is already over. `FENCE`: a newer owner has sent an order.
     `BUSY`: the VM can't be ordered now. `NOT_IN_WAVE`: no such VM, or not one of the
     wave. `THROTTLED`: too many calls just now. All but `BEGUN` mean that this order
-    had no effect; none says anything about an earlier order.
+    had no effect; an earlier order may still have had one.
     """
 
     BEGUN = 1
--- a/src/primrosestile/protocol/messages.py
+++ b/src/primrosestile/protocol/messages.py
@@ -1,8 +1,8 @@
 """Messages between our own processes, and the envelope that carries them.
 
 Messages are tagged `msgspec.Struct`s and not frozen data classes, because the codec
-tells the kinds of message apart by the tag and offers none for data classes. Each
-envelope carries sender, epoch, sequence and request id, so that a late or crossed
+distinguishes the kinds of message by the tag and offers none for data classes. Each
+envelope carries sender, epoch, sequence and request id, so that a late or swapped
 answer is recognised and dropped.
 """
 
@@ -78,7 +78,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag=True):
-    """Says that the sender is alive; answered by a heartbeat."""
+    """Shows that the sender is alive; answered by a heartbeat."""
 
     vm: str
     leaving: bool
--- a/src/primrosestile/protocol/store.py
+++ b/src/primrosestile/protocol/store.py
@@ -3,7 +3,7 @@
 The platform guarantees no operation that spans two keys. The interface offers none
 either, so that no code can depend on one.
 
-Two failures must be told apart. `STORE_UNAVAILABLE` means that the call had no
+Two failures must be distinguished. `STORE_UNAVAILABLE` means that the call had no
 effect. `STORE_ANSWER_LOST` means that a write may have taken effect; the caller must
 read the key again and look for its own token before it decides anything.
 """
--- a/src/primrosestile/protocol/transactions.py
+++ b/src/primrosestile/protocol/transactions.py
@@ -2,7 +2,7 @@
 
 Every change states the revisions that it relies on, so a change that the store applies
 seconds late, after the caller's timeout, fails its conditions and has no effect. Two
-failures are told apart: `STORE_UNAVAILABLE` means that the call had no effect,
+failures are distinguished: `STORE_UNAVAILABLE` means that the call had no effect,
 `STORE_ANSWER_LOST` that it may have had one or may still have one.
 """
 
--- a/src/primrosestile/state/jobs.py
+++ b/src/primrosestile/state/jobs.py
@@ -165,8 +165,8 @@
     """The stored claim on one (organisation, request id).
 
     Attributes:
-        token: Random for each transmission by a caller; tells a process's own write
-            from another's when the store's answer was lost.
+        token: Random for each transmission by a caller; distinguishes a process's
+            own write from another's when the store's answer was lost.
         step: Rises with each write under one token, so that no two writes are equal.
         entry: Name of the process that holds it.
         target: The worker to which it was dispatched.
@@ -203,8 +203,8 @@
     """One running process, stored under its lease at `processes/<name>`.
 
     Attributes:
-        incarnation: Random at each start; tells a restarted process from the
-            earlier one of the same name, which may have held claims.
+        incarnation: Random at each start; distinguishes a restarted process from
+            the earlier one of the same name, which may have held claims.
     """
 
     name: str
--- a/src/primrosestile/state/work.py
+++ b/src/primrosestile/state/work.py
@@ -2,8 +2,8 @@
 
 A job's submission and its progress are two records. The submission is written once, by
 the process that accepted the job; progress is written only by the owner of the fleet.
-So acceptance never waits for the owner, and the owner never overwrites what a caller
-was promised.
+So acceptance never waits for the owner, and the owner never overwrites an accepted
+job.
 
 The records are `msgspec.Struct`s encoded as arrays, to keep them short: the record of a
 job of ninety tasks is rewritten whenever one of its tasks starts or ends.
@@ -55,7 +55,7 @@
         one_rack: Whether its tasks are much slower when they span racks.
         label: Label that the worker must carry; empty for any worker.
         data_rack: Rack that holds its data; a task is much slower elsewhere.
-        max_per_worker: Most tasks of the step on one worker; 0 for no limit.
+        max_per_worker: Maximum number of its tasks on one worker; 0 for no limit.
         checkpoints: Whether its tasks save progress that a later run can resume from.
         speculative: Whether copies of a task may run concurrently; the first to end
             counts.
@@ -201,9 +201,13 @@
 
 
 class Cancellation(msgspec.Struct, frozen=True, array_like=True):
-    """A caller's request to cancel a job; written once."""
+    """A caller's request to cancel a job; written once.
 
-    asked_at: float = 0.0
+    Attributes:
+        requested_at: Seconds since 1970.
+    """
+
+    requested_at: float = 0.0
 
 
 class EndedRecord(msgspec.Struct, frozen=True, array_like=True):
