--- a/features/steps/foreign_fuzzing_steps.py
+++ b/features/steps/foreign_fuzzing_steps.py
@@ -81,7 +81,7 @@
         found = asyncio.run(PlatformWorkerList(page, find_pools).list_workers())
         assert [each for each in found.entries if each.worker != "x"] == good
         others = [each for each in found.entries if each.worker == "x"]
-        assert len(others) == ("x" not in found.refused)
+        assert len(others) == ("x" not in found.rejected)
         for entry in others:
             check_entry(entry)
 
--- a/features/steps/placement_decisions_steps.py
+++ b/features/steps/placement_decisions_steps.py
@@ -10,7 +10,7 @@
     make_deployments,
 )
 
-from primrosestile.decisions.backfill import PATIENT_WAIT_LIMIT, list_startable
+from primrosestile.decisions.backfill import PATIENT_WAIT_LIMIT_SECONDS, list_startable
 from primrosestile.decisions.cell import CellView, Demand, Holding
 from primrosestile.decisions.defragmentation import find_move
 from primrosestile.decisions.guarantees import assign_guarantees
@@ -241,8 +241,8 @@
     members = (Member("w0", tuple(range(8))),)
     hold(context.view, "running", members, 0.0)
     long = make_demand("guest", 16, 0.0)
-    short = make_demand("other", 1, PATIENT_WAIT_LIMIT)
-    now = PATIENT_WAIT_LIMIT + 1.0
+    short = make_demand("other", 1, PATIENT_WAIT_LIMIT_SECONDS)
+    now = PATIENT_WAIT_LIMIT_SECONDS + 1.0
     context.ordered = order_demands(
         [short, long], context.view, Policy(), RunTimes(), now
     )
--- a/src/primrosestile/coordination/cell.py
+++ b/src/primrosestile/coordination/cell.py
@@ -222,7 +222,7 @@
         """Take over guarantees of lost failure domains."""
         settings = self._read_settings()
         promised = view_settings(settings).find_guaranteed_shapes(domains)
-        self._data.view.set_promised(promised.get(self.cell.name, ()))
+        self._data.view.set_guaranteed(promised.get(self.cell.name, ()))
 
     def note_listed(self, leaving: frozenset[str]) -> None:
         """Record which workers the VM list shows as leaving."""
--- a/src/primrosestile/coordination/digest_exchange.py
+++ b/src/primrosestile/coordination/digest_exchange.py
@@ -122,7 +122,7 @@
             digest.waiting,
             promised,
             fresh=True,
-            handed=self._handed[cell],
+            sent_accelerators=self._handed[cell],
         )
 
 
--- a/src/primrosestile/coordination/work/worker_discovery.py
+++ b/src/primrosestile/coordination/work/worker_discovery.py
@@ -79,9 +79,9 @@
         for entry in own:
             changed |= self._apply_entry(entry)
         self._fleet_state.remove_ended(
-            {entry.worker for entry in entries} | found.refused
+            {entry.worker for entry in entries} | found.rejected
         )
-        self._unlist_refused(found.refused)
+        self._unlist_rejected(found.rejected)
         self._note_missing({entry.worker for entry in own})
         changed |= self._apply_cordons(found.cordoned)
         if changed:
@@ -146,13 +146,13 @@
         worker.listed = True
         return changed
 
-    def _unlist_refused(self, refused: frozenset[str]) -> None:
+    def _unlist_rejected(self, rejected: frozenset[str]) -> None:
         """Give no new work to workers whose entries can't be read.
 
         The overwritten entry may have said that the worker is leaving. What runs there
         goes on: the worker's link still polls it, as when the entry is missing.
         """
-        for name in refused:
+        for name in rejected:
             worker = self._fleet_state.workers.get(name)
             if worker is not None and worker.listed:
                 worker.listed = False
--- a/src/primrosestile/decisions/backfill.py
+++ b/src/primrosestile/decisions/backfill.py
@@ -28,7 +28,7 @@
 # gets a reservation. From then on it waits at most until the work that holds its
 # accelerators ends, one such job after the other in the order of acceptance. An
 # overnight render that is accepted by midnight then starts in the early morning.
-PATIENT_WAIT_LIMIT = 4 * 3600.0
+PATIENT_WAIT_LIMIT_SECONDS = 4 * 3600.0
 
 # A job is ordered by the median run time of its class, and backfills only if nine in
 # ten of its class would end in time.
@@ -82,7 +82,7 @@
 
 def is_overdue(demand: Demand, now: float) -> bool:
     """Whether a job has waited past the limit."""
-    return now - demand.accepted_at >= PATIENT_WAIT_LIMIT
+    return now - demand.accepted_at >= PATIENT_WAIT_LIMIT_SECONDS
 
 
 def _rank(
--- a/src/primrosestile/decisions/cell.py
+++ b/src/primrosestile/decisions/cell.py
@@ -246,7 +246,7 @@
         self.layout = _make_layout(self.workers, self.usable)
         self.allocations.set_layout(self.layout)
 
-    def set_promised(self, guaranteed: Sequence[tuple[str, Shape]]) -> None:
+    def set_guaranteed(self, guaranteed: Sequence[tuple[str, Shape]]) -> None:
         """Replace the guaranteed shapes after a change of settings or fleet."""
         self.allocations.set_guaranteed(guaranteed)
         self._cached_borrowers.clear()
--- a/src/primrosestile/decisions/cell_selection.py
+++ b/src/primrosestile/decisions/cell_selection.py
@@ -33,7 +33,7 @@
     waiting: int
     guaranteed: bool
     fresh: bool
-    handed: int = 0
+    sent_accelerators: int = 0
 
     @property
     def is_working(self) -> bool:
@@ -48,7 +48,7 @@
 def has_room(summary: CellSummary, shape: Shape) -> bool:
     """Whether the shape may fit now, judged by the free counts."""
     counts = summary.free.values()
-    if shape.accelerators > sum(counts) - summary.handed:
+    if shape.accelerators > sum(counts) - summary.sent_accelerators:
         return False
     if shape.adjacency is Adjacency.WORKER:
         return shape.accelerators <= max(counts, default=0)
@@ -115,7 +115,7 @@
 
     def rank(summary: CellSummary) -> tuple[bool, bool, bool, int, int, str]:
         room = has_room(summary, shape) and summary.waiting == 0
-        total = sum(summary.free.values()) - summary.handed
+        total = sum(summary.free.values()) - summary.sent_accelerators
         return (
             not summary.is_working,
             not room,
--- a/src/primrosestile/protocol/fleet.py
+++ b/src/primrosestile/protocol/fleet.py
@@ -158,7 +158,7 @@
     """
 
     entries: tuple[WorkerEntry, ...]
-    refused: frozenset[str] = frozenset()
+    rejected: frozenset[str] = frozenset()
     cordoned: frozenset[str] = frozenset()
 
 
