--- a/deploy/node.py
+++ b/deploy/node.py
@@ -1,4 +1,4 @@
-"""Starts one process of the system from a checkout."""
+"""Starts one process of the system from a source checkout."""
 
 import sys
 from pathlib import Path
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,8 +1,7 @@
-"""Make docs/CAPACITY.md from the figures that the benchmarks wrote.
+"""Generates docs/CAPACITY.md from the figures that the benchmarks wrote.
 
-The page multiplies measured slopes up to the size that the design is made for. So
-that the two can't part, it is made by this program, and a feature compares the
-page with what the program would make: `python -m tools.capacity --write`.
+The page scales measured slopes up to the size that the design is made for. A feature
+checks that it agrees with the figures; `python -m tools.capacity --write` updates it.
 """
 
 import argparse
@@ -27,7 +26,7 @@
 DOMAINS = 19
 VM_FAILURES_PER_DAY = 270
 RESTARTS_PER_DAY = 2_300
-DAY = 86_400.0
+SECONDS_PER_DAY = 86_400.0
 PROGRAMS_PER_VM = 3
 
 CORE_SHARE = 0.025
@@ -37,7 +36,7 @@
 STORE_WRITES_PER_SECOND = 300.0
 
 MEASURED_LEASE_SECONDS = 15.0
-ROUND_JITTER = 0.9
+POLL_JITTER = 0.9
 LONGER_LEASES = (15.0, 60.0, 120.0)
 JOB_RECORD_WRITES = 4.0
 AUDIT_ROLL_WRITES = 1.0
@@ -46,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Slopes:
-    """The figures of `slopes.json` that the page is worked out from."""
+    """The figures of `slopes.json` from which the page is calculated."""
 
     entry_base: float
     placer_base: float
@@ -72,10 +71,10 @@
 
 
 def share_per_vm(figures: Any, kind: str) -> float:
-    """Return what each further VM costs each program of a kind.
+    """Return the processor share that each further VM costs each program of a kind.
 
-    Between 3 and 9 VMs, on one fleet: what a program spends grows by the messages
-    with the others. The placers share the fleet's rounds, so these are taken off.
+    Measured between 3 and 9 VMs on one fleet: a program's cost grows with its messages
+    to the others. The placers share the fleet's polls, so these are subtracted.
     """
     rows = {row["vms"]: row for row in figures["vms"]["rows"]}
     few, many = min(each for each in rows if each > 1), max(rows)
@@ -90,7 +89,7 @@
 
 
 def traffic_per_vm(figures: Any) -> float:
-    """Return the bytes a second that each VM has with each other one."""
+    """Return the bytes a second that each pair of VMs exchanges."""
     rows = {row["vms"]: row["traffic"] for row in figures["vms"]["rows"]}
     few, many = min(each for each in rows if each > 1), max(rows)
     pairs = many * (many - 1) - few * (few - 1)
@@ -124,7 +123,7 @@
 
 @dataclass(frozen=True)
 class Size:
-    """What one VM spends when the fleet is shared by a number of them."""
+    """What one VM uses when a number of VMs share the fleet."""
 
     vms: int
     workers: float
@@ -134,17 +133,18 @@
 
 
 def size_vm(slopes: Slopes, vms: int, lease: float) -> Size:
-    """Work out one VM of several, under leases of some seconds."""
+    """Calculate what one of several VMs uses, with leases of some seconds."""
     workers = WORKERS / vms
     tasks = TASKS / vms
-    rounds = MEASURED_LEASE_SECONDS / lease
-    near = max(0, math.ceil(vms / REGIONS) - 1)
+    polls = MEASURED_LEASE_SECONDS / lease
+    local_vms = max(0, math.ceil(vms / REGIONS) - 1)
     processor = (
         slopes.entry_base
         + slopes.placer_base
         + slopes.steward_base
-        + rounds * (slopes.placer_per_worker * workers + slopes.placer_per_task * tasks)
-        + near * (slopes.entry_per_vm + slopes.placer_per_vm + slopes.steward_per_vm)
+        + polls * (slopes.placer_per_worker * workers + slopes.placer_per_task * tasks)
+        + local_vms
+        * (slopes.entry_per_vm + slopes.placer_per_vm + slopes.steward_per_vm)
     )
     memory = max(
         slopes.entry_memory,
@@ -155,15 +155,15 @@
     )
     traffic = (
         slopes.traffic_base
-        + rounds * slopes.traffic_per_worker * workers
-        + near * slopes.traffic_per_vm
+        + polls * slopes.traffic_per_worker * workers
+        + local_vms * slopes.traffic_per_vm
     )
     return Size(vms, workers, processor, memory, traffic)
 
 
-def find_vms(slopes: Slopes, lease: float, most: int = 2000) -> Size | None:
-    """Return the fewest VMs that keep every budget; None beyond a limit."""
-    for vms in range(1, most):
+def find_vms(slopes: Slopes, lease: float, limit: int = 2000) -> Size | None:
+    """Return the fewest VMs that meet every budget; None when it reaches the limit."""
+    for vms in range(1, limit):
         size = size_vm(slopes, vms, lease)
         if (
             size.processor <= CORE_SHARE
@@ -174,7 +174,7 @@
     return None
 
 
-def word(kept: bool) -> str:
+def describe_budget(kept: bool) -> str:
     return "met" if kept else "**missed**"
 
 
@@ -190,13 +190,13 @@
         if fewest is not None:
             sizes.append((lease, fewest))
         else:
-            lines.append(f"| {lease:.0f} s | no number keeps every budget | | | | |")
+            lines.append(f"| {lease:.0f} s | no number meets every budget | | | | |")
     for lease, size in sizes:
         lines.append(
             f"| {lease:.0f} s | {size.vms} | {size.workers:.0f} "
-            f"| {size.processor:.1%} {word(size.processor <= CORE_SHARE)} "
-            f"| {size.memory:.0f} MB {word(size.memory <= MEMORY_MB)} "
-            f"| {size.traffic / 1000:.1f} KB/s {word(size.traffic <= TRAFFIC_BYTES)} |"
+            f"| {size.processor:.1%} {describe_budget(size.processor <= CORE_SHARE)} "
+            f"| {size.memory:.0f} MB {describe_budget(size.memory <= MEMORY_MB)} "
+            f"| {size.traffic / 1000:.1f} KB/s {describe_budget(size.traffic <= TRAFFIC_BYTES)} |"
         )
     return lines
 
@@ -204,25 +204,25 @@
 def write_slopes(slopes: Slopes, figures: Any) -> list[str]:
     quote, surcharge = figures["requests"]
     return [
-        "| role | state | measured cost | grows with | mechanism that carries it |",
+        "| role | state | measured cost | grows with | mechanism that limits it |",
         "|---|---|---|---|---|",
-        f"| entry | queue, grants, picture of its region's cells | "
+        f"| entry | queue, slot grants, summaries of its region's cells | "
         f"{slopes.entry_base:.2%} of a core and {slopes.entry_memory:.0f} MB at rest; "
         f"{quote['entry_milliseconds']:.2f} ms a short request, "
         f"{surcharge['entry_milliseconds']:.2f} ms a claimed one; "
         f"{quote['requests_a_second']:.0f} requests/s | requests; "
         f"{slopes.entry_per_vm:.3%} of a core for each other VM of its region | "
         "one report a second to each placer of the region; slots granted for 3 s |",
-        f"| placer | job records, holdings and contacts of its cells | "
+        f"| placer | job records, holdings and worker connections of its cells | "
         f"{slopes.placer_base:.2%} of a core and {slopes.placer_memory:.0f} MB at "
         f"rest | {slopes.placer_per_worker * 1e6:.0f} µs/s and "
         f"{slopes.placer_memory_per_worker * 1e3:.0f} KB a worker under leases of "
         f"15 s; {slopes.placer_per_task * 1e6:.1f} µs/s and "
         f"{slopes.placer_memory_per_task * 1e3:.0f} KB a task; "
         f"{slopes.placer_per_vm:.3%} of a core for each other VM | one renewal a "
-        "worker and round for all its tasks; rounds paced to 40 a second; cells "
+        "worker and poll for all its tasks; polls limited to 40 a second; cells "
         "owned in their own region |",
-        f"| steward | nothing but settings | {slopes.steward_base:.2%} of a core and "
+        f"| steward | only settings | {slopes.steward_base:.2%} of a core and "
         f"{slopes.steward_memory:.0f} MB at rest | operators' calls | relay of "
         "settings by two watchers a failure domain |",
         f"| all | settings | {slopes.traffic_per_worker:.0f} bytes/s a worker, "
@@ -235,10 +235,12 @@
     surcharge = figures["requests"][1]
     claim_calls = sum(surcharge["store_calls_each"].values())
     keepalives = slopes.keepalives_per_vm * vms
-    jobs = JOBS_PER_DAY * JOB_RECORD_WRITES / DAY
-    changes = CHANGES_PER_DAY * (1.0 + AUDIT_ROLL_WRITES) / DAY
+    jobs = JOBS_PER_DAY * JOB_RECORD_WRITES / SECONDS_PER_DAY
+    changes = CHANGES_PER_DAY * (1.0 + AUDIT_ROLL_WRITES) / SECONDS_PER_DAY
     watches = vms * PROGRAMS_PER_VM + 2 * DOMAINS + vms * 2
-    restarts = (RESTARTS_PER_DAY + VM_FAILURES_PER_DAY) * PROGRAMS_PER_VM * 6 / DAY
+    restarts = (
+        (RESTARTS_PER_DAY + VM_FAILURES_PER_DAY) * PROGRAMS_PER_VM * 6 / SECONDS_PER_DAY
+    )
     return [
         "| what | calls a second | from |",
         "|---|---|---|",
@@ -246,14 +248,14 @@
         f"{slopes.keepalives_per_vm:.2f} a VM, times {vms} VMs |",
         f"| jobs | {jobs:.1f} | {JOBS_PER_DAY:,} a day, {JOB_RECORD_WRITES:.0f} writes "
         "each: claim, record, start, end |",
-        f"| settings | {changes:.2f} | {CHANGES_PER_DAY:,} a day, with the audit entry "
-        "that rolls |",
+        f"| settings | {changes:.2f} | {CHANGES_PER_DAY:,} a day, with the rolling audit "
+        "entry |",
         f"| processes that start | {restarts:.1f} | {RESTARTS_PER_DAY:,} restarts and "
         f"{VM_FAILURES_PER_DAY} failures a day, 6 calls for each program |",
         f"| non-idempotent requests | {claim_calls:.1f} each | measured; the store's "
         f"{STORE_WRITES_PER_SECOND:.0f} writes a second carry "
         f"{STORE_WRITES_PER_SECOND / claim_calls:.0f} such requests a second less "
-        "what stands above |",
+        "the calls above |",
         f"| waiting watches | {watches} waiting | one for processes each, two a "
         "failure domain for settings, a few a placer for owners and jobs |",
     ]
@@ -270,10 +272,10 @@
         "at most meanwhile | urgent start in 5.8 s |",
         f"| VM lost, until an answer through another | "
         f"{max(recovery['retry']['seconds']):.2f} s at most | |",
-        f"| worker leaving by the list, until its last new work | "
+        f"| worker leaving by the VM list, until its last new work | "
         f"{max(0.0, recovery['leaving_by_list']['last_new_work_after_seconds']):.1f} s "
         "| a few seconds |",
-        f"| worker leaving by its own word, until its last new work | "
+        f"| worker that reports it is leaving, until its last new work | "
         f"{max(0.0, recovery['leaving_by_own_word']['last_new_work_after_seconds']):.1f} s "
         "| a few seconds |",
     ]
@@ -281,16 +283,16 @@
         f"| setting accepted, until in force in all {row['processes']} processes "
         f"of {row['vms']} VMs | {max(row['seconds']):.2f} s at most, "
         f"{row['store_calls']} store calls for {len(row['seconds'])} changes "
-        f"| 11 s: {word(max(row['seconds']) <= 11.0)} |"
+        f"| 11 s: {describe_budget(max(row['seconds']) <= 11.0)} |"
         for row in recovery["settings"]
     )
     outage = recovery["outage"]
     lines.append(
         f"| store down for {outage['outage_seconds']:.0f} s and the owner killed | "
         f"{outage['quotes_answered']} of {outage['quotes_sent']} short requests "
-        f"answered, {outage['members_running_at_end']} of 2 members of the gang ran on; "
+        f"answered, {outage['members_running_at_end']} of 2 members of the gang kept running; "
         f"owned again {outage['owned_again_seconds']:.1f} s after the return with "
-        f"{outage['store_calls_on_return']} store calls | gangs go on |"
+        f"{outage['store_calls_on_return']} store calls | gangs keep running |"
     )
     return lines
 
@@ -313,41 +315,41 @@
 
 
 def write_targets(figures: Any) -> list[str]:
-    """Return what users ask of their deployments, and how far the system gets."""
+    """Return the worth that users ask of their deployments, and what is reached."""
     rows = [
         f"| {each['deployment']} | {each['asked']:.2f} | {each['found']} | {each['now']} |"
         for each in figures
     ]
     return [
-        "Mean worth over the standard days with trouble, processor time counted.",
+        "Mean worth over the standard days with faults, processor time counted.",
         "",
-        "| deployment | asked | as found | now |",
+        "| deployment | asked | initially | now |",
         "|---|---|---|---|",
         *rows,
     ]
 
 
 def write_sweep(figures: Any) -> list[str]:
-    """Return how the path that serves the platform grows, from the users' sweep."""
+    """Return how the path that serves the platform scales, from the users' sweep."""
     columns = [
         f"{vms} VMs, {workers:,} workers"
         for vms, workers in zip(figures["vms"], figures["workers"], strict=True)
     ]
     return [
-        "The middle VM and the busiest, which is the one that schedules. Power: the "
-        "busiest grows as the number of VMs to this power. The last column carries that "
-        "on to the users' target of 14,678 VMs; it is not played.",
+        "The median VM and the busiest, which is the one that schedules. Power: the "
+        "busiest grows as the number of VMs to this power. The last column extrapolates "
+        "that to the users' target of 14,678 VMs; it was not played.",
         "",
         f"| figure | {' | '.join(columns)} | power | at 14,678 VMs |",
         "|---|---|---|---|---|",
         *(f"| {' | '.join(map(str, row))} |" for row in figures["rows"]),
         "",
-        "What carries it: one VM schedules the whole fleet, with a task for each worker; "
-        "all others only take in calls, so the middle VM doesn't grow but in traffic, "
-        "which is the policy that each reads. Beyond the budgets at that size: the "
+        "Why it grows: one VM schedules the whole fleet, with a task for each worker; "
+        "all others only accept calls, so the median VM grows only in traffic, "
+        "which is the policy that each reads. Over budget at that size: the "
         "memory (256 MB), traffic (28 kB a second) and connections of the VM that "
         "schedules. The day at 300 VMs gave no result: the machine ran out of memory "
-        "beside other plays.",
+        "while other plays ran beside it.",
     ]
 
 
@@ -360,10 +362,11 @@
     parts = [
         "# Capacity",
         "",
-        "What each role costs at the size that the design is made for, worked out from "
+        "What each role costs at the size that the design is made for, calculated from "
         "slopes measured on one machine with small stand-ins. `scripts/bench slopes` and "
-        "`scripts/bench recovery` measure them; `python -m tools.capacity --write` makes "
-        "this page from `docs/figures/`, and `scripts/check` fails when the two part.",
+        "`scripts/bench recovery` measure them; `python -m tools.capacity --write` "
+        "generates this page from `docs/figures/`, and `scripts/check` fails when the two "
+        "differ.",
         "",
         f"The size: {WORKERS:,} workers of {ACCELERATORS_PER_WORKER} accelerators, "
         f"{TASKS:,} tasks, {JOBS_PER_DAY:,} jobs and {CHANGES_PER_DAY:,} changes of "
@@ -382,26 +385,26 @@
         "",
         *write_slopes(slopes, figures),
         "",
-        "Traffic is what the loopback interface carried, packets' own headers included, "
-        "so it counts both ends of everything on the machine.",
+        "Traffic is what the loopback interface carried, packet headers included, "
+        "so it counts both ends of every connection on the machine.",
         "",
         "## How many VMs, against each budget",
         "",
-        "Worked out, not measured: base and slopes above, with the fleet shared evenly. "
-        "Nine VMs first, then the fewest that keep every budget.",
+        "Calculated, not measured: base and slopes above, with the fleet shared evenly. "
+        "Nine VMs first, then the fewest that meet every budget.",
         "",
         *write_vm_table(slopes),
         "",
-        "A longer time to live makes rounds rarer and with them processor and traffic; "
+        "A longer time to live makes polls rarer, which saves processor time and traffic; "
         "it also lengthens the time for which a gang that lost a member may run in part, "
         "and the time until the end of a task is noticed while nothing waits. It is one "
         "setting of each process (`task_lease_seconds`). Most of it is the placers' "
         "tasks and workers; the budget of 2.5% of a core counts all three programs of a "
-        "VM together. Today's 24 workers keep every budget with 3 VMs and leases of 15 s.",
+        "VM together. Today's 24 workers meet every budget with 3 VMs and leases of 15 s.",
         "",
         f"## The store, at {vms} VMs",
         "",
-        f"It takes several hundred writes and about "
+        f"The store handles several hundred writes and about "
         f"{STORE_CALLS_PER_SECOND:.0f} reads a second.",
         "",
         *write_store(slopes, figures, vms),
@@ -416,13 +419,14 @@
         "",
         "| loss | what it costs |",
         "|---|---|",
-        "| a rack (8 workers) | its gangs lapse within one lease and restart; its cell "
-        "places on what is left; guarantees were accepted with any one rack lost |",
+        "| a rack (8 workers) | its gangs' leases expire within one lease time and they "
+        "restart; its cell places on the remaining workers; accepted guarantees allow "
+        "for the loss of any one rack |",
         "| a failure domain | the same for its cells; after 10 s its guarantees are "
         "taken over by the other domains' cells, and waiting jobs move there |",
-        "| a region cut off | entries and placers there see the store as down: short "
-        "requests and running gangs go on, nothing new is accepted; cells are owned "
-        "from their own region, so no cell is run across the cut |",
+        "| a region partitioned off | entries and placers there see the store as down: short "
+        "requests and running gangs continue, nothing new is accepted; cells are owned "
+        "from their own region, so no cell spans the partition |",
         "",
         "Not measured: more than 9 VMs of all three programs at rest, 27 VMs for "
         "settings alone, more than 480 workers or 720 tasks in one placer, several "
--- a/tools/check.py
+++ b/tools/check.py
@@ -1,7 +1,7 @@
-"""Run the formatter, linter, types, layers and every feature, and count them.
+"""Runs the formatter, linter, type checker, layer check and every feature.
 
-A scenario named in KNOWN-RED.txt is passed over and printed, so that one known
-fault does not hide a new one. Everything else that fails makes the run fail.
+A failing scenario that KNOWN-RED.txt names is printed and not counted as failed, so
+that a known fault does not hide a new one. Any other failure fails the run.
 """
 
 import argparse
@@ -17,22 +17,22 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 FEATURES = ROOT / "features"
-# Feature folders that start processes, the longest first. Their files run in lanes
-# of their own, beside the other folders: with more of them at once, there are more
-# processes than their bounds allow for.
+# Feature folders that start processes, the slowest first. Their files run in separate
+# lanes beside the other folders: more of them at once would start more processes than
+# the time bounds in their tests allow for.
 PROCESS_FOLDERS = ("failures", "path", "soak")
 PROCESS_LANES = 2
-# Run after everything else, by itself: it replaces every VM under load and asks
-# that no request is refused. What a VM needs to serve again after its start takes
-# longer in the lanes, beside others.
-ALONE = FEATURES / "failures" / "operations.feature"
-# Begun first, so that the whole run is not much longer than the longest of them.
+# Runs alone after everything else: it replaces every VM under load and requires that
+# no request is refused, and a VM takes longer to start serving when other features
+# run beside it.
+LAST_FEATURE = FEATURES / "failures" / "operations.feature"
+# Started first, so that the whole run takes little longer than the slowest of them.
 LONG_FOLDERS = ("work", "fuzzing", "requests", "model", "placement")
-# Their files run in lanes of their own: as one, each would take longer than the rest.
-SPLIT_FOLDERS = ("work", "fuzzing")
-# A small file that takes longest: begun late, the whole run would wait for it alone.
-LONGEST = FEATURES / "work" / "bound.feature"
-# Other folders side by side.
+# Their files run separately: run whole, each folder would take longer than the rest.
+PER_FILE_FOLDERS = ("work", "fuzzing")
+# A small file that takes longest; started late, it would prolong the whole run.
+LONGEST_FEATURE = FEATURES / "work" / "bound.feature"
+# Number of other folders that run in parallel.
 LANES = 4
 STATIC_CHECKS = (
     ("formatter", ("ruff", "format", "--check", ".")),
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What one check, or one scenario, came to."""
+    """The result of one check or one scenario."""
 
     name: str
     passed: bool
@@ -59,7 +59,7 @@
 
 
 def run_features(folder: str, path: Path) -> list[Result]:
-    """Run one folder of features, or one file of it."""
+    """Run a folder of features or one file of it."""
     began = time.monotonic()
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = (
@@ -124,7 +124,7 @@
             for name in PROCESS_FOLDERS
             if name in folders
             for path in sorted((FEATURES / name).glob("*.feature"))
-            if path != ALONE
+            if path != LAST_FEATURE
         ]
         parts = [
             (name, path)
@@ -132,27 +132,27 @@
             if name not in PROCESS_FOLDERS
             for path in list_parts(name)
         ]
-        parts.sort(key=lambda part: part[1] != LONGEST)
+        parts.sort(key=lambda part: part[1] != LONGEST_FEATURE)
         jobs += [lanes.submit(run_features, name, path) for name, path in parts]
         if not only:
             jobs += [lanes.submit(run_static, check) for check in STATIC_CHECKS]
         for job in jobs:
             results += job.result()
-    if ALONE.parent.name in folders:
-        results += run_features(ALONE.parent.name, ALONE)
+    if LAST_FEATURE.parent.name in folders:
+        results += run_features(LAST_FEATURE.parent.name, LAST_FEATURE)
     return results
 
 
 def list_parts(folder: str) -> list[Path]:
-    """Return what of a folder is run at once, the largest file first."""
-    if folder not in SPLIT_FOLDERS:
+    """Return the paths of a folder that run separately, the largest file first."""
+    if folder not in PER_FILE_FOLDERS:
         return [FEATURES / folder]
     files = (FEATURES / folder).glob("*.feature")
     return sorted(files, key=lambda path: path.stat().st_size, reverse=True)
 
 
 def rank_folder(name: str) -> tuple[bool, str]:
-    """Return what folders are ordered by: the longest ones begin first."""
+    """Return the sort key of a folder; the slowest folders start first."""
     return name not in LONG_FOLDERS, name
 
 
@@ -163,9 +163,9 @@
         if result.passed:
             continue
         scenario = result.name.split(": ", 1)[-1]
-        red = next((line for line in known if line.startswith(scenario)), None)
-        if red:
-            print(f"known red, passed over: {red}")
+        known_red = next((line for line in known if line.startswith(scenario)), None)
+        if known_red:
+            print(f"known red, passed over: {known_red}")
             continue
         failed += 1
         print(f"FAILED {result.name}")
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,11 +1,10 @@
-"""Both deployments at work on this machine, with one VM lost and one drained.
-
-Run it by `scripts/demo`. Each deployment has a stand-in for its platform and three
-VMs' worth of programs, all separate processes on loopback. Midway the VM that owns
-the most cells is killed and replaced, and then another is told to end. The exit
-code is 0 only if the workers' ledger shows that nothing was lost, nothing that is
-not idempotent ran twice, no gang ran in part, and the VM that was told to end cut
-nothing off.
+"""Runs both example deployments on this machine; one VM is killed and one drained.
+
+Run it with `scripts/demo`. Each deployment has a stand-in for its platform and the
+programs of three VMs, all as separate processes on loopback. Midway the VM that owns
+the most cells is killed and replaced, and then another is drained. The exit code is 0
+only if the workers' ledger shows that no work was lost, no non-idempotent work ran
+twice and no gang ran in part, and the drained VM cut no connection.
 """
 
 import argparse
@@ -23,8 +22,8 @@
 import uvloop
 
 from tools.democallers import Balancer, Callers
-from tools.demoverdict import Verdict, format_verdict, judge
-from tools.demowork import DemoFiles, Piece, make_pieces, read_files
+from tools.demoverdict import Verdict, check_work, format_verdict
+from tools.demowork import DemoFiles, WorkItem, make_work_items, read_files
 from tools.launch import ROOT, Deployment, Program, call_json
 
 EXAMPLES = ("domeworks", "thistlegate")
@@ -33,13 +32,13 @@
 DRAIN_BOUND_SECONDS = 30.0
 PROGRESS_SECONDS = 2.0
 TASK_LEASE_SECONDS = 6.0
-# Work takes a quarter of what its class declares: declared lengths are far off.
+# Work takes a quarter of its class's declared time: real declarations are far off.
 WORK_FACTOR = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class Losses:
-    """What became of the VMs that were killed and drained."""
+class VmLosses:
+    """The drained VM and the exit codes of its programs."""
 
     drained: str
     exits: dict[str, int | None]
@@ -58,7 +57,7 @@
 
 
 def run_demo(files: DemoFiles) -> list[str]:
-    """Run one deployment's demo; return what went wrong."""
+    """Run the demo of one deployment; return its faults."""
     began = time.monotonic()
     print(f"== {files.name}")
     with Deployment(files.settings, task_lease_seconds=TASK_LEASE_SECONDS) as made:
@@ -72,26 +71,26 @@
         programs = sum(len(vm.programs) for vm in made.vms.values())
         seconds = time.monotonic() - began
         print(f"{programs} programs on {len(made.vms)} VMs ready after {seconds:.1f} s")
-        pieces = make_pieces(files)
-        losses = uvloop.run(work_through(made, pieces))
-        verdict = judge(
-            pieces,
+        work_items = make_work_items(files)
+        losses = uvloop.run(run_work(made, work_items))
+        verdict = check_work(
+            work_items,
             made.workers.read_ledger(),
             made.process_settings["task_lease_seconds"],
             losses.drained,
         )
-        verdict.faults += judge_exits(losses)
+        verdict.faults += check_exits(losses)
         print_verdict(verdict)
         if verdict.faults:
-            keep_evidence(made, files.name)
+            save_evidence(made, files.name)
     print(f"{files.name}: {time.monotonic() - began:.1f} s")
     return verdict.faults
 
 
-def judge_exits(losses: Losses) -> list[str]:
-    """Return which programs of the drained VM did not end well."""
+def check_exits(losses: VmLosses) -> list[str]:
+    """Return a fault for each program of the drained VM that did not exit with 0."""
     return [
-        f"{name} was told to end and its exit code is {code}"
+        f"{name} was told to shut down and its exit code is {code}"
         for name, code in losses.exits.items()
         if code != 0
     ]
@@ -105,13 +104,13 @@
         print(f"FAULT {fault}")
 
 
-def keep_evidence(deployment: Deployment, name: str) -> None:
-    """Copy every log, and what ran, to where a person can look at them."""
-    kept = ROOT / "run" / "demo" / name
-    shutil.copytree(deployment.folder, kept, dirs_exist_ok=True)
+def save_evidence(deployment: Deployment, name: str) -> None:
+    """Copy all logs and the workers' ledger into `run/demo` for debugging."""
+    folder = ROOT / "run" / "demo" / name
+    shutil.copytree(deployment.folder, folder, dirs_exist_ok=True)
     ledger = deployment.workers.read_ledger()
-    (kept / "ledger.json").write_bytes(msgspec.json.encode(ledger))
-    print(f"logs and ledger are in {kept.relative_to(ROOT)}")
+    (folder / "ledger.json").write_bytes(msgspec.json.encode(ledger))
+    print(f"logs and ledger are in {folder.relative_to(ROOT)}")
 
 
 def count_cells(deployment: Deployment) -> Counter[str]:
@@ -119,7 +118,7 @@
     cells: Counter[str] = Counter()
     for program in deployment.list_programs("placer"):
         assert program.settings is not None
-        # One that is just starting does not listen yet and owns nothing.
+        # A placer that is starting does not listen yet and owns nothing.
         with contextlib.suppress(OSError):
             owned = call_json("GET", f"http://{program.settings.http}/v1/cells")
             cells[program.settings.vm] = len(owned)
@@ -127,35 +126,37 @@
 
 
 def wait_for_owners(deployment: Deployment, bound: float) -> None:
-    """Return when every cell has an owner.
+    """Wait until every cell has an owner.
 
     Raises:
-        TimeoutError: When one has none within the bound, in seconds.
+        TimeoutError: When a cell has none within the bound, in seconds.
     """
     cells = len(deployment.settings.fleet.cells)
     deployment.wait_until(lambda: sum(count_cells(deployment).values()) >= cells, bound)
 
 
-async def work_through(deployment: Deployment, pieces: list[Piece]) -> Losses:
-    """Send all work while VMs are lost; return when every piece has its end."""
+async def run_work(deployment: Deployment, work_items: list[WorkItem]) -> VmLosses:
+    """Send all work while VMs are lost, and wait for the outcome of each item."""
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         balancer = Balancer(session)
         balancer.entries = list_entries(deployment)
-        await balancer.look()
+        await balancer.refresh()
         watching = asyncio.create_task(balancer.run())
-        telling = asyncio.create_task(tell_progress(pieces, balancer))
+        printing = asyncio.create_task(print_progress(work_items, balancer))
         callers = Callers(session, balancer)
-        losing = asyncio.create_task(lose_vms(deployment, balancer))
-        await asyncio.gather(*(callers.carry(piece) for piece in pieces))
-        losses = await losing
+        vm_losses = asyncio.create_task(lose_vms(deployment, balancer))
+        await asyncio.gather(
+            *(callers.run_work_item(work_item) for work_item in work_items)
+        )
+        losses = await vm_losses
         watching.cancel()
-        telling.cancel()
+        printing.cancel()
     return losses
 
 
-async def lose_vms(deployment: Deployment, balancer: Balancer) -> Losses:
-    """Kill and replace one VM, then tell another to end."""
+async def lose_vms(deployment: Deployment, balancer: Balancer) -> VmLosses:
+    """Kill and replace one VM, then drain another."""
     await asyncio.sleep(KILL_AT_SECONDS)
     cells = await asyncio.to_thread(count_cells, deployment)
     killed = cells.most_common()[0][0]
@@ -170,15 +171,15 @@
     print(f"every cell has an owner again, {seconds:.1f} s after the new VM started")
     cells = await asyncio.to_thread(count_cells, deployment)
     drained = cells.most_common()[0][0]
-    print(f"telling {drained} to end, which owns {cells[drained]} cells")
+    print(f"draining {drained}, which owns {cells[drained]} cells")
     programs = list(deployment.vms[drained].programs.values())
     await asyncio.to_thread(deployment.drain_vm, drained)
     exits = await wait_for_exits(programs)
-    return Losses(drained, exits)
+    return VmLosses(drained, exits)
 
 
 async def wait_for_exits(programs: list[Program]) -> dict[str, int | None]:
-    """Return the exit codes of programs that were told to end."""
+    """Return programs' exit codes; None for one that didn't exit within the bound."""
     exits = {}
     for each in programs:
         try:
@@ -199,17 +200,22 @@
     return found
 
 
-async def tell_progress(pieces: list[Piece], balancer: Balancer) -> None:
-    """Print every now and then how far the work has come."""
+async def print_progress(work_items: list[WorkItem], balancer: Balancer) -> None:
+    """Print the progress of the work at intervals."""
     began = time.monotonic()
     while True:
         await asyncio.sleep(PROGRESS_SECONDS)
-        sent = sum(piece.sent_at > 0 for piece in pieces)
-        counts = Counter(piece.outcome for piece in pieces if piece.outcome)
-        told = ", ".join(f"{count} {outcome}" for outcome, count in counts.items())
+        sent = sum(work_item.sent_at > 0 for work_item in work_items)
+        counts = Counter(
+            work_item.outcome for work_item in work_items if work_item.outcome
+        )
+        summary = ", ".join(f"{count} {outcome}" for outcome, count in counts.items())
         seconds = time.monotonic() - began
         ready = " ".join(balancer.ready)
-        print(f"{seconds:4.0f} s: {sent} of {len(pieces)} sent; {told}; ready: {ready}")
+        print(
+            f"{seconds:4.0f} s: {sent} of {len(work_items)} sent; "
+            f"{summary}; ready: {ready}"
+        )
 
 
 if __name__ == "__main__":
--- a/tools/democallers.py
+++ b/tools/democallers.py
@@ -1,8 +1,8 @@
-"""Callers behind a balancer that lags, as the demo plays them.
+"""The demo's callers, behind a load balancer with stale health checks.
 
-A caller reaches only entries that the balancer has last seen ready. When its
-connection is cut it asks again under the same id, and it comes back when it is
-told to; it never makes a new request of the same work.
+A caller reaches only entries that were ready at the balancer's last check. When its
+connection is cut it retries under the same id, and after a refusal it retries when the
+answer says; it never sends the same work as a new request.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 import aiohttp
 import msgspec
 
-from tools.demowork import ANSWERED, LOST, REFUSED, UNKNOWN, Piece
+from tools.demowork import ANSWERED, LOST, REFUSED, UNKNOWN, WorkItem
 
-BALANCER_SECONDS = 1.0
+BALANCER_POLL_SECONDS = 1.0
 READY_TIMEOUT_SECONDS = 1.0
 POLL_SECONDS = 0.25
-PATIENCE_SECONDS = 25.0
+CALLER_TIMEOUT_SECONDS = 25.0
 ANSWER_TIMEOUT_SECONDS = 20.0
-CUT_PAUSE_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 ACCEPTED_STATUS = 202
 FINISHED = "finished"
 FINAL_STATES = (FINISHED, "failed", "cancelled", "unknown")
@@ -29,7 +29,7 @@
 
 
 class Balancer:
-    """Spreads callers over the entries that were ready when it last looked.
+    """Spreads callers over the entries that were ready at the last health check.
 
     Attributes:
         entries: Every entry's address, by the name of its VM.
@@ -39,30 +39,30 @@
         self.entries: dict[str, str] = {}
         self._session = session
         self._ready: list[str] = []
-        self._turns = itertools.count()
+        self._counter = itertools.count()
 
     @property
     def ready(self) -> list[str]:
-        """Names of the VMs to which it sends."""
+        """Names of the VMs that get requests."""
         return list(self._ready)
 
     async def run(self) -> None:
-        """Look at every entry's readiness, again and again."""
+        """Check every entry's readiness at intervals."""
         while True:
-            await self.look()
-            await asyncio.sleep(BALANCER_SECONDS)
+            await self.refresh()
+            await asyncio.sleep(BALANCER_POLL_SECONDS)
 
-    async def look(self) -> None:
-        """Look at every entry's readiness once."""
+    async def refresh(self) -> None:
+        """Check every entry's readiness once."""
         names = list(self.entries)
         found = await asyncio.gather(*(self._is_ready(name) for name in names))
         self._ready = [name for name, ready in zip(names, found, strict=True) if ready]
 
     def choose(self) -> str | None:
-        """Return the VM that gets the next request."""
+        """Return the VM that gets the next request; None when none is ready."""
         if not self._ready:
             return None
-        return self._ready[next(self._turns) % len(self._ready)]
+        return self._ready[next(self._counter) % len(self._ready)]
 
     async def _is_ready(self, name: str) -> bool:
         url = f"http://{self.entries[name]}/readyz"
@@ -75,14 +75,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class Response:
     """One answer of an entry."""
 
     status: int
     body: bytes
 
     def read_fields(self) -> Mapping[str, Any]:
-        """Return the fields of its JSON; none where it is no JSON object."""
+        """Return the fields of its JSON; empty when it isn't a JSON object."""
         try:
             fields = msgspec.json.decode(self.body)
         except msgspec.MsgspecError:
@@ -91,66 +91,71 @@
 
 
 class Callers:
-    """Sends pieces of work and stays with each until its end is known."""
+    """Sends work items and follows each until its outcome is known."""
 
     def __init__(self, session: aiohttp.ClientSession, balancer: Balancer) -> None:
         self._session = session
         self._balancer = balancer
 
-    async def carry(self, piece: Piece) -> None:
-        """Send one piece and follow it to its end."""
+    async def run_work_item(self, work_item: WorkItem) -> None:
+        """Send one work item and follow it to its outcome."""
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(piece.at)
-        piece.sent_at = loop.time()
+        await asyncio.sleep(work_item.at)
+        work_item.sent_at = loop.time()
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
-                await self._submit(piece)
+            async with asyncio.timeout(CALLER_TIMEOUT_SECONDS):
+                await self._submit(work_item)
         except TimeoutError:
-            if not piece.outcome:
-                piece.outcome = LOST if piece.job_id else UNKNOWN
-                piece.detail = piece.detail or "no end within the caller's patience"
-        piece.ended_at = loop.time()
-
-    async def _submit(self, piece: Piece) -> None:
-        while not piece.outcome:
-            reply = await self._send(piece)
-            if reply is None:
-                await asyncio.sleep(CUT_PAUSE_SECONDS)
-            elif reply.status == 200 and not piece.is_job:
-                self._check_answer(piece, reply)
-            elif reply.status == ACCEPTED_STATUS:
-                piece.job_id = reply.read_fields()["job_id"]
-                await self._follow(piece)
+            if not work_item.outcome:
+                work_item.outcome = LOST if work_item.job_id else UNKNOWN
+                work_item.detail = (
+                    work_item.detail or "no outcome within the caller's timeout"
+                )
+        work_item.ended_at = loop.time()
+
+    async def _submit(self, work_item: WorkItem) -> None:
+        while not work_item.outcome:
+            response = await self._send(work_item)
+            if response is None:
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
+            elif response.status == 200 and not work_item.is_job:
+                self._check_answer(work_item, response)
+            elif response.status == ACCEPTED_STATUS:
+                work_item.job_id = response.read_fields()["job_id"]
+                await self._poll_job(work_item)
             else:
-                await self._come_back(piece, reply)
-
-    async def _send(self, piece: Piece) -> Reply | None:
-        """Send once; None when no entry is ready or the connection was cut."""
-        body: dict[str, Any] = {"team": piece.team, "class": piece.job_class.name}
-        if piece.is_job:
-            body["declared_seconds"] = piece.declared_seconds
-            body["payload"] = piece.work_id
+                await self._handle_refusal(work_item, response)
+
+    async def _send(self, work_item: WorkItem) -> Response | None:
+        """Send one attempt; None when no entry is ready or the connection was cut."""
+        body: dict[str, Any] = {
+            "team": work_item.team,
+            "class": work_item.job_class.name,
+        }
+        if work_item.is_job:
+            body["declared_seconds"] = work_item.declared_seconds
+            body["payload"] = work_item.work_id
         else:
-            body["body"] = piece.body
-        piece.attempts += 1
+            body["body"] = work_item.body
+        work_item.attempts += 1
         headers = {
-            "Authorization": f"Bearer {piece.token}",
-            "X-Request-Id": piece.work_id,
-            "X-Attempt": str(piece.attempts),
+            "Authorization": f"Bearer {work_item.token}",
+            "X-Request-Id": work_item.work_id,
+            "X-Attempt": str(work_item.attempts),
         }
-        path = "/v1/jobs" if piece.is_job else "/v1/requests"
+        path = "/v1/jobs" if work_item.is_job else "/v1/requests"
         return await self._exchange(
-            piece, "POST", path, headers, msgspec.json.encode(body)
+            work_item, "POST", path, headers, msgspec.json.encode(body)
         )
 
     async def _exchange(
         self,
-        piece: Piece,
+        work_item: WorkItem,
         method: str,
         path: str,
         headers: Mapping[str, str],
         body: bytes | None = None,
-    ) -> Reply | None:
+    ) -> Response | None:
         vm = self._balancer.choose()
         if vm is None:
             return None
@@ -160,45 +165,50 @@
             async with self._session.request(
                 method, url, headers=headers, data=body, timeout=timeout
             ) as answer:
-                return Reply(answer.status, await answer.read())
+                return Response(answer.status, await answer.read())
         except aiohttp.ClientConnectorError:
             return None
         except (aiohttp.ClientError, OSError, TimeoutError):
-            piece.cuts.append(vm)
+            work_item.cut_by.append(vm)
             return None
 
-    def _check_answer(self, piece: Piece, reply: Reply) -> None:
-        expected = f"answer to {piece.work_id}: {piece.body}".encode()
-        piece.outcome = ANSWERED if reply.body == expected else LOST
-        if reply.body != expected:
-            piece.detail = f"another's answer: {reply.body[:80]!r}"
+    def _check_answer(self, work_item: WorkItem, response: Response) -> None:
+        expected = f"answer to {work_item.work_id}: {work_item.body}".encode()
+        work_item.outcome = ANSWERED if response.body == expected else LOST
+        if response.body != expected:
+            work_item.detail = f"the answer to other work: {response.body[:80]!r}"
 
-    async def _come_back(self, piece: Piece, reply: Reply) -> None:
-        """Wait as long as the refusal says, or take it as the end."""
-        fields = reply.read_fields()
+    async def _handle_refusal(self, work_item: WorkItem, response: Response) -> None:
+        """Wait as long as the refusal says, or take it as the outcome."""
+        fields = response.read_fields()
         after = fields.get("retry_after")
-        piece.detail = f"{reply.status} {fields.get('error')}: {fields.get('detail')}"
+        work_item.detail = (
+            f"{response.status} {fields.get('error')}: {fields.get('detail')}"
+        )
         not_run = fields.get("ran") == NOT_RUN
-        patient = asyncio.get_running_loop().time() - piece.sent_at < PATIENCE_SECONDS
-        if after is not None and patient:
+        in_time = (
+            asyncio.get_running_loop().time() - work_item.sent_at
+            < CALLER_TIMEOUT_SECONDS
+        )
+        if after is not None and in_time:
             await asyncio.sleep(after)
             return
-        if not not_run and piece.job_class.idempotent and patient:
-            await asyncio.sleep(CUT_PAUSE_SECONDS)
+        if not not_run and work_item.job_class.idempotent and in_time:
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
             return
-        piece.outcome = REFUSED if not_run else UNKNOWN
+        work_item.outcome = REFUSED if not_run else UNKNOWN
 
-    async def _follow(self, piece: Piece) -> None:
-        headers = {"Authorization": f"Bearer {piece.token}"}
-        path = f"/v1/jobs/{piece.job_id}"
+    async def _poll_job(self, work_item: WorkItem) -> None:
+        headers = {"Authorization": f"Bearer {work_item.token}"}
+        path = f"/v1/jobs/{work_item.job_id}"
         while True:
-            reply = await self._exchange(piece, "GET", path, headers)
-            if reply is not None and reply.status == 200:
-                fields = reply.read_fields()
+            response = await self._exchange(work_item, "GET", path, headers)
+            if response is not None and response.status == 200:
+                fields = response.read_fields()
                 state = fields.get("state")
                 if state in FINAL_STATES:
-                    piece.reasons = [each["code"] for each in fields["history"]]
-                    piece.outcome = ANSWERED if state == FINISHED else LOST
-                    piece.detail = "" if state == FINISHED else f"ended {state}"
+                    work_item.reasons = [each["code"] for each in fields["history"]]
+                    work_item.outcome = ANSWERED if state == FINISHED else LOST
+                    work_item.detail = "" if state == FINISHED else f"ended {state}"
                     return
             await asyncio.sleep(POLL_SECONDS)
--- a/tools/demowork.py
+++ b/tools/demowork.py
@@ -1,4 +1,4 @@
-"""The work of one deployment's demo, as its files in `examples/` list it."""
+"""Reads the work of a deployment's demo from its files in `examples/`."""
 
 import json
 import random
@@ -16,11 +16,11 @@
 
 
 class WorkLine(msgspec.Struct, frozen=True):
-    """Some pieces of work of one class, sent at random moments.
+    """Several work items of one class, sent at random times.
 
     Attributes:
-        over_seconds: From the first to the last of them.
-        declared_seconds: The length of a gang job, which its stand-in keeps to.
+        over_seconds: The span of time over which they are sent.
+        declared_seconds: The run time of a gang job, which the stand-in follows.
     """
 
     team: str
@@ -37,16 +37,16 @@
 
 
 @dataclass(slots=True)
-class Piece:
+class WorkItem:
     """One request or job, and what its caller learns about it.
 
     Attributes:
         at: Seconds after the start when it is sent.
-        outcome: One of the words of `OUTCOMES` once it is known.
-        sent_at: Loop time of its first sending.
+        outcome: One of `OUTCOMES` once it is known; empty before.
+        sent_at: Loop time of its first attempt.
         ended_at: Loop time of its whole answer or final state.
-        cuts: Names of the VMs that cut its connection.
-        reasons: Why each step of a job was taken, as its record says.
+        cut_by: Names of the VMs that cut its connection.
+        reasons: Reason codes of a job's steps, from its record.
     """
 
     work_id: str
@@ -61,17 +61,17 @@
     sent_at: float = 0.0
     ended_at: float = 0.0
     attempts: int = 0
-    cuts: list[str] = field(default_factory=list)
+    cut_by: list[str] = field(default_factory=list)
     reasons: list[str] = field(default_factory=list)
 
     @property
     def is_job(self) -> bool:
-        """Whether it is a gang job and no short request."""
+        """Whether it is a gang job rather than a short request."""
         return self.job_class.kind is Kind.GANG
 
     @property
     def body(self) -> str:
-        """The text that a short request carries and gets back."""
+        """The text that a short request sends and its answer contains."""
         return f"{self.job_class.name} of {self.work_id}"
 
 
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemoFiles:
-    """What one deployment's folder in `examples/` holds."""
+    """The contents of one deployment's folder in `examples/`."""
 
     name: str
     settings: Settings
@@ -93,7 +93,7 @@
 
 
 def read_files(folder: Path) -> DemoFiles:
-    """Return what a deployment's folder holds."""
+    """Read the folder of a deployment."""
     return DemoFiles(
         folder.name,
         read_settings(folder / "settings.json"),
@@ -102,24 +102,24 @@
     )
 
 
-def make_pieces(files: DemoFiles) -> list[Piece]:
-    """Return all pieces of work in the order of their sending."""
-    chance = random.Random(SEED)
-    pieces = []
+def make_work_items(files: DemoFiles) -> list[WorkItem]:
+    """Return all work items in the order in which they are sent."""
+    rng = random.Random(SEED)
+    work_items = []
     for number, line in enumerate(files.work.work):
         team = files.settings.find_team(line.team)
         job_class = team.find_class(line.job_class) if team else None
         if job_class is None:
             raise ValueError(f"{files.name}: no class {line.job_class} of {line.team}")
-        pieces += [
-            Piece(
+        work_items += [
+            WorkItem(
                 f"{files.name}-{number}-{each}",
                 line.team,
                 files.tokens["teams"][line.team],
                 job_class,
-                chance.uniform(0.0, line.over_seconds),
+                rng.uniform(0.0, line.over_seconds),
                 line.declared_seconds,
             )
             for each in range(line.count)
         ]
-    return sorted(pieces, key=lambda piece: piece.at)
+    return sorted(work_items, key=lambda work_item: work_item.at)
--- a/tools/errorpage.py
+++ b/tools/errorpage.py
@@ -1,8 +1,9 @@
-"""Make docs/errors.md from the table of errors and the table of exit codes.
+"""Generates docs/errors.md from the tables of errors and of exit codes.
 
     python -m tools.errorpage
 
-A page written by hand would part from the tables; a feature compares the two.
+A feature checks that the page agrees with the tables, which a page written by hand
+would not stay.
 """
 
 from pathlib import Path
@@ -19,15 +20,15 @@
 INTRODUCTION = """\
 # Errors
 
-Made from `src/primrosestile/errors.py` by `python -m tools.errorpage`.
+Generated from `src/primrosestile/errors.py` by `python -m tools.errorpage`.
 
-Every refusal and failure is one of these kinds. A caller acts on two facts:
+Every refusal and failure has one of these kinds. A caller acts on two fields:
 
 - **Ran**: after `not run` the work can be sent again without risk. After `may have
   run` it can be sent again only if it is idempotent, or under the same
   `X-Request-Id`.
-- **Retry after**: seconds until it is worth coming back; an answer may name a better
-  figure. Without one, coming back is of no use unless something is changed first.
+- **Retry after**: seconds to wait before a retry; an answer may give a more exact
+  figure. Without one, a retry is of no use unless something is changed first.
 
 The body of an answer is
 `{"error", "detail", "ran", "remedy", "retry_after", "request_id"}`, and `Retry-After`
--- a/tools/launch.py
+++ b/tools/launch.py
@@ -1,8 +1,8 @@
 """Starts and ends the programs of one deployment as separate processes.
 
-The demo, the benchmarks and the tests of failures all need the real programs on
-loopback, beside a stand-in for the platform. A deployment remembers each process
-that it started and ends only those, each by its own id.
+The demo, the benchmarks and the failure tests run the real programs on loopback with a
+stand-in for the platform. A deployment ends only the processes that it started, each
+by its id.
 """
 
 import asyncio
@@ -39,24 +39,24 @@
 ROOT = Path(__file__).resolve().parent.parent
 HOST = "127.0.0.1"
 KINDS = ("entry", "placer", "steward")
-# Below the ports that the system hands out to outgoing connections, so that a
-# program that is started again finds its port free.
+# Below the ephemeral port range of outgoing connections, so that a restarted program
+# finds its port free.
 PORTS = range(20_000, 32_000)
 START_BOUND_SECONDS = 60.0
 STEP_SECONDS = 0.05
 CALL_TIMEOUT_SECONDS = 10.0
 LOG_TAIL_LINES = 20
-# Files whose locks hold the ports that this process has taken.
-_claims: list[IO[str]] = []
+# Open lock files of the ports that this process has taken.
+_port_locks: list[IO[str]] = []
 
 
 @dataclass(slots=True)
 class Program:
-    """One process that was started here.
+    """A process that a deployment started.
 
     Attributes:
         settings: None for a stand-in.
-        log: Where its output goes.
+        log: The file that its output goes to.
     """
 
     name: str
@@ -66,31 +66,31 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not exited."""
         return self.process.poll() is None
 
     def read_log_tail(self) -> str:
-        """Return the end of its output, for a person who looks for a fault."""
+        """Return the last lines of its output, for debugging."""
         lines = self.log.read_text(errors="replace").splitlines()
         return "\n".join(lines[-LOG_TAIL_LINES:])
 
 
 @dataclass(frozen=True, slots=True)
 class Switches:
-    """The address where a stand-in takes faults and tells what happened."""
+    """Client of the address where a stand-in takes faults and reports what happened."""
 
     address: str
 
     def set_faults(self, **order: Any) -> None:
-        """Send an order; its fields are those of the stand-in's `FaultOrder`."""
+        """Set faults; the arguments are the fields of the stand-in's `FaultOrder`."""
         call_json("POST", f"http://{self.address}/faults", order)
 
     def read_calls(self) -> dict[str, int]:
-        """Return how often each kind of call came to the store."""
+        """Return the number of calls to the store by kind."""
         return dict(call_json("GET", f"http://{self.address}/calls"))
 
     def read_ledger(self) -> Ledger:
-        """Return what ran on the workers."""
+        """Return the ledger of what ran on the workers."""
         ledger = call_json("GET", f"http://{self.address}/ledger")
         return msgspec.convert(ledger, Ledger)
 
@@ -108,14 +108,16 @@
     """One deployment: a store, workers, a VM list, and VMs with the programs.
 
     Attributes:
-        settings: What operators set, with the workers' addresses here.
-        folder: Settings and logs of each process.
+        settings: The operators' settings, with the workers' addresses on loopback.
+        folder: Holds the settings and logs of each process.
         process_settings: Fields of `ProcessSettings` that all processes get.
     """
 
     def __init__(self, settings: Settings, **process_settings: Any) -> None:
-        self._held = contextlib.ExitStack()
-        name = self._held.enter_context(tempfile.TemporaryDirectory(prefix="tile-"))
+        self._resources = contextlib.ExitStack()
+        name = self._resources.enter_context(
+            tempfile.TemporaryDirectory(prefix="tile-")
+        )
         self.folder = Path(name)
         self.settings = settings
         self.process_settings = process_settings
@@ -156,7 +158,7 @@
     def start_vm(
         self, name: str, failure_domain: str, kinds: Sequence[str] = KINDS
     ) -> Vm:
-        """Start a VM's programs and show the VM in the list."""
+        """Start a VM's programs and add the VM to the list."""
         vm = self.vms[name] = Vm(name, failure_domain)
         for kind in kinds:
             if has_program(kind):
@@ -165,7 +167,7 @@
         return vm
 
     def start_program(self, vm: Vm, kind: str) -> Program:
-        """Start one program of a VM, under the addresses it had before, if any."""
+        """Start one program of a VM; a restart keeps its addresses."""
         before = vm.programs.get(kind)
         settings = before.settings if before else self._make_settings(vm, kind)
         assert settings is not None
@@ -177,7 +179,7 @@
         return program
 
     def kill_vm(self, name: str) -> None:
-        """End a VM's programs at once, as the loss of the machine does."""
+        """Kill a VM's programs at once, as the loss of the machine does."""
         for program in self.vms[name].programs.values():
             program.process.send_signal(signal.SIGKILL)
         for program in self.vms[name].programs.values():
@@ -185,7 +187,7 @@
         self.workers.set_faults(remove_vms=[name])
 
     def drain_vm(self, name: str) -> None:
-        """Tell a VM's programs to end once nothing is in progress."""
+        """Make a VM's programs drain and shut down."""
         self.workers.set_faults(vms={name: True})
         for program in self.vms[name].programs.values():
             program.process.send_signal(signal.SIGTERM)
@@ -196,10 +198,10 @@
         return [each for each in found if each is not None and each.is_running]
 
     def wait_until_ready(self, bound: float = START_BOUND_SECONDS) -> None:
-        """Return when every program says that it is ready.
+        """Wait until every program reports that it is ready.
 
         Raises:
-            TimeoutError: With the log of one that is not.
+            TimeoutError: When one isn't within the bound; has every program's log.
         """
         for vm in self.vms.values():
             for program in vm.programs.values():
@@ -208,10 +210,10 @@
     def wait_until(
         self, condition: Callable[[], bool], bound: float = START_BOUND_SECONDS
     ) -> None:
-        """Return when a condition holds.
+        """Wait until a condition holds.
 
         Raises:
-            TimeoutError: When it does not within the bound.
+            TimeoutError: When it doesn't hold within the bound, in seconds.
         """
         end = time.monotonic() + bound
         while not condition():
@@ -220,24 +222,24 @@
             time.sleep(STEP_SECONDS)
 
     def describe_logs(self) -> str:
-        """Return the end of every process's output."""
+        """Return the last lines of every process's output."""
         return "\n".join(
             f"---- {each.name}: exit {each.process.poll()}\n{each.read_log_tail()}"
             for each in self.started
         )
 
     def take_address(self) -> str:
-        """Return an address that nothing listens on."""
+        """Return an address with a free port."""
         return f"{HOST}:{next(self._ports)}"
 
     def close(self) -> None:
-        """End every process that was started here."""
+        """Kill every process that this deployment started."""
         running = [each.process for each in self.started if each.is_running]
         for process in running:
             process.kill()
         for process in running:
             process.wait()
-        self._held.close()
+        self._resources.close()
 
     def _make_settings(self, vm: Vm, kind: str) -> ProcessSettings:
         settings = ProcessSettings(
@@ -285,7 +287,7 @@
 
 
 def has_program(kind: str) -> bool:
-    """Return whether this version has that program."""
+    """Return whether this version has a program of that kind."""
     return importlib.util.find_spec(f"primrosestile.programs.{kind}") is not None
 
 
@@ -295,7 +297,7 @@
 
 
 def move_workers(settings: Settings, address: str) -> Settings:
-    """Return the settings with all workers at one address of the stand-in."""
+    """Return the settings with all workers at the stand-in's address."""
     workers = tuple(
         replace(each, address=f"{address}/workers/{each.name}")
         for each in settings.fleet.workers
@@ -305,48 +307,48 @@
 
 
 def iterate_ports() -> Iterator[int]:
-    """Yield ports that nothing listens on, in an order of this process's own.
+    """Yield free ports in a random order that differs by process.
 
-    A port stays claimed until this process ends. Between the moment in which a port was
-    found free and that in which a program listens on it, another deployment beside this
-    one could find it free too: its store could not listen, and callers met the other's
-    program, whose page for an unknown path, "404: Not Found", reads as a number.
+    A port stays locked until this process exits. Without the lock, another deployment
+    could find a port free before the program here listens on it: its store then failed
+    to listen, and callers reached the other deployment's program, whose page for an
+    unknown path, "404: Not Found", reads as a number.
     """
     ports = list(PORTS)
     random.Random(os.getpid() * 1_000_003 + time.monotonic_ns()).shuffle(ports)
     for port in ports:
-        claim = claim_port(port)
-        if claim is None:
+        lock = lock_port(port)
+        if lock is None:
             continue
         with socket.socket() as probe:
             try:
                 probe.bind((HOST, port))
             except OSError:
-                claim.close()
+                lock.close()
                 continue
-        _claims.append(claim)
+        _port_locks.append(lock)
         yield port
 
 
-def claim_port(port: int) -> IO[str] | None:
-    """Return an open file that holds a port for this process, or None if one does."""
-    claim = (Path(tempfile.gettempdir()) / f"primrosestile-port-{port}").open("w")
+def lock_port(port: int) -> IO[str] | None:
+    """Return the lock file of a port, or None when another process has locked it."""
+    lock = (Path(tempfile.gettempdir()) / f"primrosestile-port-{port}").open("w")
     try:
-        fcntl.flock(claim, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        claim.close()
+        lock.close()
         return None
-    return claim
+    return lock
 
 
 def is_ready(program: Program) -> bool:
-    """Return whether a program answers that it is ready.
+    """Return whether a program reports that it is ready.
 
     Raises:
-        RuntimeError: When it has ended.
+        RuntimeError: When it has exited.
     """
     if not program.is_running:
-        raise RuntimeError(f"{program.name} has ended:\n{program.read_log_tail()}")
+        raise RuntimeError(f"{program.name} has exited:\n{program.read_log_tail()}")
     assert program.settings is not None
     url = f"http://{program.settings.http}/readyz"
     try:
@@ -357,10 +359,10 @@
 
 
 def call_json(method: str, url: str, body: Any = None, token: str = "") -> Any:
-    """Send a call and return the JSON of its answer.
+    """Send a request and return the JSON of its answer.
 
     Raises:
-        urllib.error.HTTPError: When the status says that it failed.
+        urllib.error.HTTPError: When the status is an error.
         OSError: When there is no answer.
     """
     data = json.dumps(body).encode() if body is not None else None
@@ -372,7 +374,7 @@
 
 
 async def store_settings(address: str, settings: Settings) -> None:
-    """Write all settings into a store that has none, as their first revision."""
+    """Write the first revision of all settings into an empty store."""
     store = make_store(lambda: [address])
     for path, value in split_document(msgspec.to_builtins(settings)):
         text = msgspec.json.encode(value).decode()
--- a/tools/settingspage.py
+++ b/tools/settingspage.py
@@ -1,9 +1,9 @@
-"""Make docs/settings.md from the settings' data classes and the tables of checks.
+"""Generates docs/settings.md from the settings' data classes and the check tables.
 
     python -m tools.settingspage
 
-A setting that the page doesn't show can't be set by an operator who reads it, and
-a bound that it shows wrongly costs a refused change; a feature compares the two.
+A setting that is missing on the page can't be found by operators, and a wrong bound
+leads to a refused change; a feature checks that the page agrees with the code.
 """
 
 import dataclasses
@@ -30,35 +30,34 @@
 INTRODUCTION = """\
 # Settings
 
-Made from the code by `python -m tools.settingspage`.
+Generated from the code by `python -m tools.settingspage`.
 
-Operators' settings stand in the platform's store under the paths `fleet`,
+Operators' settings are stored in the platform's store under the paths `fleet`,
 `workers/<failure domain>`, `guarantees`, `policy` and `teams/<team>`, one value for
 each. A settings file holds all of them in one JSON document; `examples/` has one for
 each deployment, and `primrosestile settings check FILE` shows every fault of such a
 file.
 
-In a file all workers stand in `fleet.workers`. In the store, `fleet` has no workers,
-and `workers/<failure domain>` is the list of those whose racks are in that failure
-domain. Why they are kept by failure domain:
+In a file all workers are in `fleet.workers`. In the store, `fleet` has no workers, and
+`workers/<failure domain>` is the list of those whose racks are in that failure domain.
+Workers are stored by failure domain for these reasons:
 
 - The store holds a megabyte a value, and 15,000 workers are 2.5 MB of JSON. Those of
   one of 19 failure domains are about 0.12 MB, and a value also holds the audit entry
   of its latest change, with the list before and after.
-- A failure domain is built, moved and emptied as one, so most changes are of one value
-  and nobody else's change is in its way. By rack or by worker there would be thousands
+- A failure domain is built, moved and emptied as a whole, so most changes are of one
+  value and don't conflict with others. By rack or by worker there would be thousands
   of paths, each with a revision that all processes compare every two seconds.
-- A path for each region would not do: one region may hold most of the fleet.
+- A path for each region would be too large: one region may hold most of the fleet.
 
-The price is that a rack and its workers are not changed as one. A worker counts only
-once its rack stands in `fleet` with that failure domain, and only at one path; until
-then it is left out and named in a warning, and all other workers count.
+The drawback is that a rack and its workers are not changed together. A worker is used
+only once its rack is in `fleet` with that failure domain, and only at one path; until
+then it is left out and named in a warning, and all other workers are used.
 
-In the tables, `[]` stands for each item of a list. A setting without a default must
-be given. A key that does not stand here is a fault, and so is a key that stands
-twice.
+In the tables, `[]` means each item of a list. A setting without a default must be
+given. A key that is not listed here is a fault, and so is a key that occurs twice.
 
-Besides what the tables say, these hold together:
+Besides the bounds in the tables, these rules hold:
 
 - Names are unique within their kind, and each rack is in exactly one cell.
 - A rack's failure domain, a cell's and a worker's racks, and the organisation of a
@@ -100,7 +99,7 @@
 
 
 def list_rows(kind: Any, place: str) -> Iterator[str]:
-    """Yield a row for each plain setting within a type."""
+    """Yield a row for each scalar setting within a type."""
     inner, is_list = unwrap(kind)
     if is_list:
         place += "[]"
@@ -118,7 +117,7 @@
 
 
 def unwrap(kind: Any) -> tuple[Any, bool]:
-    """Return the item type of a tuple, or the type within `| None`."""
+    """Return the item type of a tuple or the type within `| None`; True for a tuple."""
     arguments = typing.get_args(kind)
     if typing.get_origin(kind) is tuple:
         return arguments[0], True
@@ -185,7 +184,7 @@
 
 
 def read_meanings(kind: type) -> dict[str, str]:
-    """Return the meaning of each attribute, from the class's doc comment."""
+    """Return the meaning of each attribute, from the class's docstring."""
     text = inspect.getdoc(kind) or ""
     _, _, attributes = text.partition("Attributes:\n")
     found = re.findall(r"^    (\w+): (.*(?:\n        .*)*)", attributes, re.MULTILINE)
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,10 +1,10 @@
-"""A randomized soak: real processes, and faults from outside them.
+"""A randomized soak test of real processes under injected faults.
 
     python -m tools.soak --seeds 1-50 --seconds 12
 
-Each seed starts the stand-in of the platform, three processes of ours with a proxy
-before their store, and callers; draws faults that overlap; heals everything; and then
-looks at what callers and workers saw. A seed that ever failed is kept in
+Each seed starts the platform's stand-in, three of our processes with a proxy between
+each and the store, and callers. It injects random overlapping faults, ends them, and
+then checks what callers and workers observed. A seed that once failed stays in
 `features/soak/soak.feature` with its cause.
 """
 
@@ -38,11 +38,11 @@
 WORKERS = 6
 ACCELERATORS = 8
 READY_SECONDS = 20.0
-# After healing: a worker's lease, a change of owner, and the work itself.
+# After the faults end: a worker's lease, a change of owner, and the work itself.
 SETTLE_SECONDS = 45.0
-CALL_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 POLL_SECONDS = 0.1
-TRIES = 4
+MAX_ATTEMPTS = 4
 JOBS_PER_SECOND = 4.0
 FAULT_GAP_SECONDS = (0.3, 1.2)
 FAULT_SECONDS = (0.3, 4.0)
@@ -61,10 +61,10 @@
 
 @dataclass(slots=True)
 class Job:
-    """One job and what its caller was told.
+    """One job and the answers that its caller got.
 
     Attributes:
-        answers: The status of each try; 0 for no answer.
+        answers: The status of each attempt; 0 for no answer.
     """
 
     job_id: str
@@ -73,23 +73,23 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether a caller was told so."""
+        """Whether an attempt was answered with 200."""
         return 200 in self.answers
 
     @property
     def refused(self) -> bool:
-        """Whether each try was refused as not run."""
+        """Whether each attempt was refused as not run."""
         return bool(self.answers) and set(self.answers) <= {429, 503}
 
 
-async def poll(holds: Callable[[], Awaitable[bool]]) -> None:
-    """Return once something outside this process holds; nothing tells of it."""
-    while not await holds():  # noqa: ASYNC110
+async def wait_until(condition: Callable[[], Awaitable[bool]]) -> None:
+    """Poll until a condition outside this process holds; nothing signals it."""
+    while not await condition():  # noqa: ASYNC110
         await asyncio.sleep(POLL_SECONDS)
 
 
 class Node:
-    """One process of ours."""
+    """One of our processes."""
 
     def __init__(self, number: int, folder: Path) -> None:
         self.number = number
@@ -139,10 +139,10 @@
 
 
 class Soak:
-    """One seed's run."""
+    """The run of one seed."""
 
     def __init__(self, seed: int, seconds: float, folder: Path) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.seconds = seconds
         self.store = FleetStore()
         self.fleet = Fleet()
@@ -150,11 +150,11 @@
         self.proxies: list[Proxy] = []
         self.jobs: list[Job] = []
         self.faults: Counter[str] = Counter()
-        self.wrong: list[str] = []
-        self._ends: list[web.AppRunner] = []
+        self.violations: list[str] = []
+        self._runners: list[web.AppRunner] = []
 
     async def run(self) -> list[str]:
-        """Return what broke a promise, as sentences."""
+        """Run the seed; return each violation as a sentence."""
         async with aiohttp.ClientSession() as self._session:
             try:
                 await self._set_up()
@@ -162,15 +162,15 @@
                     tasks.create_task(self._send_jobs(tasks))
                     tasks.create_task(self._draw_faults(tasks))
                 await self._heal()
-                await self._check()
+                await self._check_jobs()
             finally:
                 for node in self.nodes:
                     await node.end()
                 for proxy in self.proxies:
                     await proxy.close()
-                for end in self._ends:
+                for end in self._runners:
                     await end.cleanup()
-        return self.wrong
+        return self.violations
 
     async def _set_up(self) -> None:
         self.store.put(POLICY_KEY, make_policy(1))
@@ -199,7 +199,7 @@
         await end.setup()
         site = web.TCPSite(end, "127.0.0.1", 0)
         await site.start()
-        self._ends.append(end)
+        self._runners.append(end)
         return int(end.addresses[0][1])
 
     async def _add_proxy(self, port: int) -> Proxy:
@@ -211,7 +211,7 @@
     async def _wait_ready(self) -> None:
         async with asyncio.timeout(READY_SECONDS):
             for node in self.nodes:
-                await poll(lambda node=node: self._is_ready(node))
+                await wait_until(lambda node=node: self._is_ready(node))
 
     async def _is_ready(self, node: Node) -> bool:
         return await self._call(node, "GET", "/v1/ready", READY_PORT) == 200
@@ -222,7 +222,7 @@
         """Return the status; 0 for no answer. The body goes to `self.answer`."""
         headers = {"Host": HOST, "Authorization": "Token key-domes"}
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 url = f"http://127.0.0.{node.host}:{port}{path}"
                 async with self._session.request(
                     method, url, data=body, headers=headers
@@ -235,24 +235,24 @@
     async def _send_jobs(self, tasks: asyncio.TaskGroup) -> None:
         until = asyncio.get_running_loop().time() + self.seconds
         while asyncio.get_running_loop().time() < until:
-            await asyncio.sleep(self.chance.expovariate(JOBS_PER_SECOND))
-            tasks.create_task(self._hand_in(self._draw_job()))
+            await asyncio.sleep(self.rng.expovariate(JOBS_PER_SECOND))
+            tasks.create_task(self._submit(self._draw_job()))
 
     def _draw_job(self) -> tuple[Job, bytes]:
-        job_id = f"{self.chance.getrandbits(64):016x}"
-        queue = self.chance.choice(("urgent", "usual", "patient"))
-        count = self.chance.randint(1, 4)
-        gang = self.chance.random() < 0.5
+        job_id = f"{self.rng.getrandbits(64):016x}"
+        queue = self.rng.choice(("urgent", "usual", "patient"))
+        count = self.rng.randint(1, 4)
+        gang = self.rng.random() < 0.5
         step = {
             "count": count,
             "cpu": 1000,
             "mem_mb": 1000,
-            "gpu": self.chance.choice((1, 2, 4)),
+            "gpu": self.rng.choice((1, 2, 4)),
             "estimate_ms": 800,
         }
         if gang:
             step["gang"] = True
-        seconds = self.chance.uniform(0.2, 1.5)
+        seconds = self.rng.uniform(0.2, 1.5)
         need = Need(1000, 1000, step["gpu"])
         script = Script(seconds, need, gang=count if gang else 1)
         self.fleet.scripts[job_id] = script
@@ -260,10 +260,10 @@
         self.jobs.append(job)
         return job, json.dumps({"spec": "", "steps": [step]}).encode()
 
-    async def _hand_in(self, drawn: tuple[Job, bytes]) -> None:
+    async def _submit(self, drawn: tuple[Job, bytes]) -> None:
         job, body = drawn
-        for _ in range(TRIES):
-            node = self.chance.choice(self.nodes)
+        for _ in range(MAX_ATTEMPTS):
+            node = self.rng.choice(self.nodes)
             path = f"/{job.queue}/{job.job_id}"
             job.answers.append(await self._call(node, "POST", path, FRONT_PORT, body))
             if job.accepted:
@@ -273,55 +273,55 @@
     async def _draw_faults(self, tasks: asyncio.TaskGroup) -> None:
         until = asyncio.get_running_loop().time() + self.seconds
         while asyncio.get_running_loop().time() < until:
-            await asyncio.sleep(self.chance.uniform(*FAULT_GAP_SECONDS))
-            kind = self.chance.choice(list(FAULTS))
+            await asyncio.sleep(self.rng.uniform(*FAULT_GAP_SECONDS))
+            kind = self.rng.choice(list(FAULTS))
             self.faults[kind] += 1
-            lasts = self.chance.uniform(*FAULT_SECONDS)
-            tasks.create_task(FAULTS[kind](self, lasts))
+            duration = self.rng.uniform(*FAULT_SECONDS)
+            tasks.create_task(FAULTS[kind](self, duration))
 
-    async def kill(self, lasts: float) -> None:
-        node = self.chance.choice(self.nodes)
+    async def kill(self, duration: float) -> None:
+        node = self.rng.choice(self.nodes)
         node.signal(signal.SIGCONT)
         node.signal(signal.SIGKILL)
-        await asyncio.sleep(min(lasts, 1.0))
+        await asyncio.sleep(min(duration, 1.0))
         await node.restart()
 
-    async def tell_to_end(self, lasts: float) -> None:
-        node = self.chance.choice(self.nodes)
+    async def terminate(self, duration: float) -> None:
+        node = self.rng.choice(self.nodes)
         node.signal(signal.SIGTERM)
         await asyncio.sleep(6.0)
         await node.restart()
 
-    async def pause(self, lasts: float) -> None:
-        node = self.chance.choice(self.nodes)
+    async def pause(self, duration: float) -> None:
+        node = self.rng.choice(self.nodes)
         node.signal(signal.SIGSTOP)
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         node.signal(signal.SIGCONT)
 
-    async def break_link(self, lasts: float) -> None:
-        proxy = self.chance.choice(self.proxies)
+    async def break_link(self, duration: float) -> None:
+        proxy = self.rng.choice(self.proxies)
         modes = [mode for mode in Mode if mode is not Mode.GOOD]
-        proxy.set_mode(self.chance.choice(modes))
-        await asyncio.sleep(lasts)
+        proxy.set_mode(self.rng.choice(modes))
+        await asyncio.sleep(duration)
         proxy.set_mode(Mode.GOOD)
 
-    async def reset_links(self, lasts: float) -> None:
+    async def reset_links(self, duration: float) -> None:
         for proxy in self.proxies:
             proxy.reset()
 
-    async def stop_store(self, lasts: float) -> None:
+    async def stop_store(self, duration: float) -> None:
         self.store.faults.down = True
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         self.store.faults.down = False
 
-    async def lose_store_answers(self, lasts: float) -> None:
+    async def lose_store_answers(self, duration: float) -> None:
         self.store.faults.lose_writes += 3
-        self.store.faults.late_writes += [self.chance.uniform(0.5, 3.0)]
+        self.store.faults.late_writes += [self.rng.uniform(0.5, 3.0)]
 
-    async def lose_orders(self, lasts: float) -> None:
-        worker = self.chance.choice(list(self.fleet.workers.values()))
+    async def lose_orders(self, duration: float) -> None:
+        worker = self.rng.choice(list(self.fleet.workers.values()))
         worker.faults.lose_answers += 2
-        worker.faults.late_orders += [self.chance.uniform(0.5, 6.0)]
+        worker.faults.late_orders += [self.rng.uniform(0.5, 6.0)]
 
     async def _heal(self) -> None:
         self.store.faults.lose_writes = 0
@@ -334,23 +334,25 @@
                 await node.start()
         await self._wait_ready()
 
-    async def _check(self) -> None:
-        """Look at each job's end, and at what the workers have noted."""
+    async def _check_jobs(self) -> None:
+        """Check each job's final state and the violations that workers recorded."""
         accepted = [job for job in self.jobs if job.accepted]
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(SETTLE_SECONDS):
                 for job in accepted:
-                    await poll(lambda job=job: self._is_completed(job))
+                    await wait_until(lambda job=job: self._is_completed(job))
         for job in accepted:
             if not await self._is_completed(job):
-                self.wrong.append(f"{job.job_id} was accepted and is not completed")
+                self.violations.append(
+                    f"{job.job_id} was accepted and is not completed"
+                )
         started = {task.partition(".")[0] for task, _, _ in self.fleet.starts}
         for job in self.jobs:
             if job.refused and job.job_id in started:
-                self.wrong.append(f"{job.job_id} was refused as not run, and ran")
-        self.wrong += self.fleet.faults_found
+                self.violations.append(f"{job.job_id} was refused as not run, and ran")
+        self.violations += self.fleet.faults_found
         if not accepted:
-            self.wrong.append("no job was accepted")
+            self.violations.append("no job was accepted")
 
     async def _is_completed(self, job: Job) -> bool:
         path = f"/{job.queue}/{job.job_id}"
@@ -360,7 +362,7 @@
 
 FAULTS: dict[str, Callable[[Soak, float], object]] = {
     "kill": Soak.kill,
-    "tell to end": Soak.tell_to_end,
+    "tell to end": Soak.terminate,
     "pause": Soak.pause,
     "break a link": Soak.break_link,
     "reset links": Soak.reset_links,
@@ -371,7 +373,7 @@
 
 
 def run_seed(seed: int, seconds: float, folder: Path) -> tuple[Soak, list[str]]:
-    """Run one seed; the logs of its processes stand in the folder."""
+    """Run one seed; its processes write their logs into the folder."""
     folder.mkdir(parents=True, exist_ok=True)
 
     async def run() -> tuple[Soak, list[str]]:
@@ -391,14 +393,14 @@
     failed = 0
     for seed in range(int(first), int(last or first) + 1):
         folder = (options.logs or Path(tempfile.mkdtemp())) / f"seed-{seed}"
-        soak, wrong = run_seed(seed, options.seconds, folder)
+        soak, violations = run_seed(seed, options.seconds, folder)
         accepted = sum(job.accepted for job in soak.jobs)
         faults = sum(soak.faults.values())
         print(f"seed {seed}: {len(soak.jobs)} jobs, {accepted} accepted,", end=" ")
-        print(f"{faults} faults, {len(wrong)} wrong", flush=True)
-        for each in wrong:
-            print(f"  {each} (logs in {folder})")
-        failed += bool(wrong)
+        print(f"{faults} faults, {len(violations)} violations", flush=True)
+        for violation in violations:
+            print(f"  {violation} (logs in {folder})")
+        failed += bool(violations)
     print(f"{failed} seeds failed")
     return 1 if failed else 0
 
--- a/tools/soakproxy.py
+++ b/tools/soakproxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections misbehave when told to."""
+"""A loopback proxy that delays, drops or resets traffic on request."""
 
 import asyncio
 import contextlib
@@ -9,10 +9,10 @@
 
 
 class Mode(Enum):
-    """What the proxy does to bytes, also on connections that are open.
+    """What the proxy does with bytes, also on connections that are already open.
 
-    `SILENT` keeps connections and passes nothing on; `ONE_WAY` passes what goes to
-    the server and none of its answers; `CLOSED` resets.
+    `SILENT` keeps connections open and forwards nothing; `ONE_WAY` forwards what goes
+    to the server and none of its answers; `CLOSED` resets connections.
     """
 
     GOOD = "good"
@@ -23,7 +23,7 @@
 
 
 class Proxy:
-    """Passes connections on to one address of 127.0.0.1."""
+    """Forwards connections to a port of 127.0.0.1."""
 
     def __init__(self, target: int) -> None:
         self.target = target
@@ -58,26 +58,26 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            server_reader, server_writer = await asyncio.open_connection(
                 "127.0.0.1", self.target
             )
         except OSError:
             writer.transport.abort()
             return
-        self._open |= {writer, far_writer}
+        self._open |= {writer, server_writer}
         try:
             async with asyncio.TaskGroup() as tasks:
-                tasks.create_task(self._pass_on(reader, far_writer, Mode.SILENT))
-                tasks.create_task(self._pass_on(far_reader, writer, Mode.ONE_WAY))
+                tasks.create_task(self._forward(reader, server_writer, Mode.SILENT))
+                tasks.create_task(self._forward(server_reader, writer, Mode.ONE_WAY))
         finally:
-            self._open -= {writer, far_writer}
+            self._open -= {writer, server_writer}
             writer.transport.abort()
-            far_writer.transport.abort()
+            server_writer.transport.abort()
 
-    async def _pass_on(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, stop: Mode
     ) -> None:
-        """Pass bytes on until one end closes; what is swallowed is lost for good."""
+        """Forward bytes until one side closes; bytes that are dropped stay lost."""
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(CHUNK_BYTES):
                 if self.mode is Mode.SLOW:
