--- a/tools/bench/__main__.py
+++ b/tools/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run one benchmark by name: `scripts/bench decisions --output run/decisions`."""
+"""Runs one benchmark by name: `scripts/bench decisions --output run/decisions`."""
 
 import argparse
 import importlib
@@ -26,7 +26,7 @@
     parser.add_argument("--output", type=Path, default=None)
     options = parser.parse_args()
     output = options.output or Path("run/bench") / options.name
-    # Benches use as many processes as they mean to; matrices take no more cores.
+    # Benches choose their own number of processes; BLAS must not add threads.
     os.environ.setdefault("OPENBLAS_NUM_THREADS", "1")
     output.mkdir(parents=True, exist_ok=True)
     module = importlib.import_module(f"tools.bench.{options.name}")
--- a/tools/bench/ablation.py
+++ b/tools/bench/ablation.py
@@ -1,9 +1,9 @@
-"""What each mechanism of a pass is worth: without it, on the same days as with it.
+"""Measures the worth of each mechanism of a scheduling pass by leaving it out.
 
 `scripts/bench ablation` plays every workload with all mechanisms and then without each
-one in turn, and prints the difference in worth, in callers who got nothing and in work
-thrown away, with the standard error of each over the days. A figure within twice that
-is no evidence. `ablation.json` has the same.
+one, on the same days. It prints the difference in worth, in callers who got nothing and
+in work thrown away, with the standard error of each over the days. A difference within
+two standard errors is not significant. `ablation.json` has the same figures.
 """
 
 import json
@@ -25,7 +25,7 @@
 from primrosestile.decisions.work.units import Member, Unit
 from primrosestile.decisions.work.worker_quarantine import WorkerQuarantine
 from tools.bench.site_days import WORKLOADS, play_day
-from tools.bench.site_driver import Learning
+from tools.bench.site_driver import RunStatistics
 
 SEEDS = int(os.environ.get("PRIMROSESTILE_BENCH_SEEDS", "16"))
 PROCESSES = 4
@@ -33,26 +33,26 @@
 
 
 class NoDurations(Durations):
-    """Goes by callers' estimates only."""
+    """Uses only the callers' estimates."""
 
     def learn(self, queue: str, estimate: float, seconds: float) -> None:
         """Learn nothing."""
 
 
 class NoSpeeds(Speeds):
-    """Takes all workers as equally fast."""
+    """Assumes that all workers are equally fast."""
 
     def note_done(self, member: Member, now: float) -> None:
         """Learn nothing."""
 
 
-class NoTrust(WorkerQuarantine):
-    """Leaves no worker out, whatever fails there."""
+class NoQuarantine(WorkerQuarantine):
+    """Never quarantines a worker."""
 
     def note_failed(
         self, worker: str, job: str, seconds: float, now: float, workers: int
     ) -> float:
-        """Return that it gets work at once."""
+        """Return a quarantine that is already over."""
         return 0.0
 
 
@@ -69,11 +69,11 @@
     return rank.make_key()[:-1]
 
 
-def have_no_patience(unit: Unit, seconds: float, idle: bool) -> float:
+def skip_locality_wait(unit: Unit, seconds: float, idle: bool) -> float:
     return 0.0
 
 
-def keep_nothing(unit: Unit, rooms: Rooms, durations: Durations, now: float) -> bool:
+def reserve_nothing(unit: Unit, rooms: Rooms, durations: Durations, now: float) -> bool:
     return False
 
 
@@ -91,14 +91,14 @@
     return allowed and gainer.job.queue.priority == 0
 
 
-def stop_what_saves(
+def stop_checkpointed(
     victim: Unit, gainer: Unit, entitled: Collection[str], now: float
 ) -> bool:
     allowed = may_stop(victim, gainer, entitled, now)
     return allowed and (victim.step.checkpoints or gainer.job.job_id in entitled)
 
 
-def stop_nothing_aged(
+def spare_aged(
     victim: Unit, gainer: Unit, entitled: Collection[str], now: float
 ) -> bool:
     allowed = may_stop(victim, gainer, entitled, now)
@@ -107,63 +107,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """What is left of the mechanisms."""
+    """The mechanisms with one left out."""
 
     mechanisms: Mechanisms
-    make_learning: Callable[[], Learning] = Learning
+    make_statistics: Callable[[], RunStatistics] = RunStatistics
 
 
 def make_variants() -> dict[str, Variant]:
-    """Return all mechanisms together, and without each one, by what is missing."""
+    """Return the complete variant and one without each mechanism, by its name."""
     whole = make_mechanisms()
 
-    def lack(**replaced: object) -> Variant:
+    def drop(**replaced: object) -> Variant:
         return Variant(replace(whole, **replaced))  # type: ignore[arg-type]
 
     return {
         "nothing": Variant(whole),
-        "order by guarantee": lack(order=order_without_guarantees),
-        "order by lateness": lack(order=order_without_lateness),
-        "order by slack": lack(order=order_without_slack),
-        "patience for racks": lack(locality_wait=have_no_patience),
-        "kept room": lack(reservation=keep_nothing),
-        "stops beyond guarantees": lack(permission=stop_for_guaranteed),
-        "stops for usual work": lack(permission=stop_for_urgent),
-        "stops of unsaved work": lack(permission=stop_what_saves),
-        "stops of aged unsaved work": lack(permission=stop_nothing_aged),
-        "rescues": lack(stall_finding=lambda fleet_state, durations, now: []),
-        "slow workers": lack(slow_finding=lambda *_: set()),
-        "learned run times": Variant(whole, partial(Learning, NoDurations())),
-        "learned speeds": Variant(whole, lambda: Learning(speeds=NoSpeeds())),
-        "distrust": Variant(whole, lambda: Learning(trust=NoTrust())),
+        "order by guarantee": drop(order=order_without_guarantees),
+        "order by lateness": drop(order=order_without_lateness),
+        "order by slack": drop(order=order_without_slack),
+        "patience for racks": drop(locality_wait=skip_locality_wait),
+        "kept room": drop(reservation=reserve_nothing),
+        "stops beyond guarantees": drop(permission=stop_for_guaranteed),
+        "stops for usual work": drop(permission=stop_for_urgent),
+        "stops of unsaved work": drop(permission=stop_checkpointed),
+        "stops of aged unsaved work": drop(permission=spare_aged),
+        "rescues": drop(stall_finding=lambda fleet_state, durations, now: []),
+        "slow workers": drop(slow_finding=lambda *_: set()),
+        "learned run times": Variant(whole, partial(RunStatistics, NoDurations())),
+        "learned speeds": Variant(whole, lambda: RunStatistics(speeds=NoSpeeds())),
+        "distrust": Variant(whole, lambda: RunStatistics(quarantine=NoQuarantine())),
     }
 
 
-def play(path: Path, lacking: str, seed: int) -> dict[str, float]:
+def play(path: Path, missing: str, seed: int) -> dict[str, float]:
     """Play one day without a mechanism."""
-    variant = make_variants()[lacking]
+    variant = make_variants()[missing]
     planner = partial(make_plan, mechanisms=variant.mechanisms)
-    return play_day(path, planner, seed, variant.make_learning())
+    return play_day(path, planner, seed, variant.make_statistics())
 
 
 def compare(path: Path) -> dict[str, dict[str, tuple[float, float]]]:
-    """Return, by what is missing, each figure's mean and standard error.
+    """Return each figure's mean and standard error by the missing mechanism.
 
-    Those of what lacks nothing are the figures; the others are differences to it.
+    The row "nothing" has the figures; the other rows have differences to it.
     """
     days = {}
     with ProcessPoolExecutor(PROCESSES) as pool:
-        for lacking in make_variants():
-            jobs = [pool.submit(play, path, lacking, seed) for seed in range(SEEDS)]
-            days[lacking] = [job.result() for job in jobs]
+        for missing in make_variants():
+            jobs = [pool.submit(play, path, missing, seed) for seed in range(SEEDS)]
+            days[missing] = [job.result() for job in jobs]
     whole = days["nothing"]
     table = {}
-    for lacking, played in days.items():
-        table[lacking] = {
+    for missing, played in days.items():
+        table[missing] = {
             figure: summarise(
                 [
-                    day[figure] - (0.0 if played is whole else usual[figure])
-                    for day, usual in zip(played, whole, strict=True)
+                    day[figure] - (0.0 if played is whole else complete[figure])
+                    for day, complete in zip(played, whole, strict=True)
                 ]
             )
             for figure in FIGURES
@@ -190,6 +190,6 @@
     """Print one workload's table."""
     print(f"{name}, {SEEDS} days")
     print(f"{'without':28}" + "".join(f"{figure:>30}" for figure in FIGURES))
-    for lacking, figures in table.items():
+    for missing, figures in table.items():
         cells = (f"{value:+.3f} +- {error:.3f}" for value, error in figures.values())
-        print(f"{lacking:28}" + "".join(f"{cell:>30}" for cell in cells))
+        print(f"{missing:28}" + "".join(f"{cell:>30}" for cell in cells))
--- a/tools/bench/decisions.py
+++ b/tools/bench/decisions.py
@@ -1,4 +1,4 @@
-"""All decision benchmarks: placement and requests, with one printed table."""
+"""Runs the decision benchmarks, placement and requests, and prints their aims."""
 
 import importlib
 import importlib.util
@@ -29,10 +29,10 @@
     aims = json.loads(path.read_text()).get("aims", {})
     if not isinstance(aims, dict):
         return []
-    return [(name, aim, word_aim(values)) for aim, values in aims.items()]
+    return [(name, aim, format_aim(values)) for aim, values in aims.items()]
 
 
-def word_aim(values: Any) -> str:
+def format_aim(values: Any) -> str:
     if not isinstance(values, dict) or "met" not in values:
         return str(values)
     verdict = "met" if values["met"] else "missed"
--- a/tools/bench/fleets.py
+++ b/tools/bench/fleets.py
@@ -1,4 +1,4 @@
-"""Settings of any size for the benchmarks, in the form of the examples."""
+"""Makes settings of any size for the benchmarks, structured like the examples."""
 
 import hashlib
 
--- a/tools/bench/passes.py
+++ b/tools/bench/passes.py
@@ -1,7 +1,8 @@
-"""What one pass costs: heavy days on fleets of three sizes, with as much work each.
+"""Measures the cost of a scheduling pass on fleets of three sizes under heavy load.
 
-`scripts/bench passes` prints the processor time of a pass, and a digest of all that was
-decided: a change that is to be faster only leaves every digest as it is.
+The load for each worker is the same at every size. `scripts/bench passes` prints the
+processor time of a pass and a digest of all decisions: a pure optimisation leaves every
+digest unchanged.
 """
 
 import hashlib
@@ -20,21 +21,21 @@
 from tools.bench.site_driver import SiteRun
 from tools.bench.site_workloads import Workload, draw_day, read_workload
 
-# Workers, and for how many seconds jobs come: with more workers there are more passes.
+# Workers, and seconds for which jobs arrive: more workers cause more passes.
 FLEETS = ((24, 50.0), (176, 20.0), (1024, 3.0))
 SEED = 0
 
 
 @dataclass
 class TimedPlanner:
-    """Our plan, timed and remembered.
+    """Runs our planner, and times and hashes its plans.
 
     Attributes:
         seconds: Processor time of each pass.
     """
 
     seconds: list[float] = field(default_factory=list)
-    decided: "hashlib._Hash" = field(default_factory=hashlib.sha256)
+    digest: "hashlib._Hash" = field(default_factory=hashlib.sha256)
 
     def __call__(
         self, fleet_state: FleetState, durations: Durations, speeds: Speeds, now: float
@@ -42,12 +43,12 @@
         began = time.process_time()
         plan = make_plan(fleet_state, durations, speeds, now)
         self.seconds.append(time.process_time() - began)
-        self.decided.update(repr((now, *list_decisions(plan))).encode())
+        self.digest.update(repr((now, *list_decisions(plan))).encode())
         return plan
 
 
 def list_decisions(plan: Plan) -> list[tuple[object, ...]]:
-    """Return all that a plan decides, by name."""
+    """Return all decisions of a plan, with units and workers by name."""
     starts = [
         (each.unit.job.job_id, each.unit.key, [worker.name for worker in each.workers])
         for each in plan.starts
@@ -64,7 +65,7 @@
 
 
 def enlarge(workload: Workload, workers: int, seconds: float) -> Workload:
-    """Return a fleet of another size with as much work for each worker."""
+    """Return the workload at another fleet size with the same load for each worker."""
     scale = workers / workload.workers
     kinds = [
         msgspec.structs.replace(kind, per_second=scale * kind.per_second)
@@ -76,7 +77,7 @@
 
 
 def time_passes(workload: Workload) -> dict[str, float | str]:
-    """Return what the passes of a day took, in milliseconds."""
+    """Return the processor time of a day's passes in milliseconds."""
     planner = TimedPlanner()
     SiteRun(workload, draw_day(workload, SEED), planner, SEED).run()
     in_order = sorted(planner.seconds)
@@ -87,7 +88,7 @@
         "p50": round(1000 * in_order[count // 2], 2),
         "p99": round(1000 * in_order[int(0.99 * count)], 2),
         "most": round(1000 * in_order[-1], 2),
-        "digest": planner.decided.hexdigest()[:16],
+        "digest": planner.digest.hexdigest()[:16],
     }
 
 
--- a/tools/bench/path_load.py
+++ b/tools/bench/path_load.py
@@ -1,7 +1,7 @@
 """Sends short requests to one address as fast as it answers them.
 
-A process of its own, so that the sender does not take processor time from what is
-measured: `python -m tools.bench.path_load URL TOKEN TEAM CLASS CALLERS SECONDS`.
+Runs as a separate process, so that sending does not take processor time in the measured
+processes: `python -m tools.bench.path_load URL TOKEN TEAM CLASS CALLERS SECONDS`.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 async def send_all(
     url: str, headers: dict[str, str], body: bytes, callers: int, seconds: float
 ) -> dict[str, float]:
-    """Return counts and times of all requests in some seconds."""
+    """Send requests for some seconds; return their counts and times."""
     times: list[float] = []
     failed = 0
     end = time.perf_counter() + seconds
--- a/tools/bench/path_processes.py
+++ b/tools/bench/path_processes.py
@@ -1,7 +1,6 @@
-"""What running processes use: memory, processor time, bytes on their sockets.
+"""Reads the memory, processor time and socket bytes of running processes.
 
-All of it is read from the kernel from outside, so that nothing in the programs has
-to count for a benchmark.
+All figures come from the kernel, so that the programs need no counters for a benchmark.
 """
 
 import os
@@ -41,7 +40,7 @@
     inode: int
     port: int
     peer_port: int
-    moved: int
+    transferred: int
 
 
 def read_memory(pid: int) -> int:
@@ -59,7 +58,7 @@
 
 
 def list_inodes(pids: Iterable[int]) -> set[int]:
-    """Return the inodes of all sockets that some processes hold."""
+    """Return the inodes of all sockets that the processes hold."""
     inodes = set()
     for pid in pids:
         for link in Path(f"/proc/{pid}/fd").iterdir():
@@ -73,7 +72,7 @@
 
 
 def list_connections() -> list[Connection]:
-    """Return all TCP connections of this machine, as the kernel counts them."""
+    """Return all TCP connections of this machine, as the kernel reports them."""
     request = REQUEST.pack(
         socket.AF_INET,
         socket.IPPROTO_TCP,
@@ -86,15 +85,17 @@
         HEADER.size + len(request), SOCK_DIAG_BY_FAMILY, REQUEST_DUMP, 1, 0
     )
     found: list[Connection] = []
-    with socket.socket(socket.AF_NETLINK, socket.SOCK_RAW, NETLINK_SOCK_DIAG) as asked:
-        asked.send(header + request)
-        while read_messages(asked.recv(RECEIVE_SIZE), found):
+    with socket.socket(
+        socket.AF_NETLINK, socket.SOCK_RAW, NETLINK_SOCK_DIAG
+    ) as netlink:
+        netlink.send(header + request)
+        while read_messages(netlink.recv(RECEIVE_SIZE), found):
             pass
     return found
 
 
 def read_messages(data: bytes, found: list[Connection]) -> bool:
-    """Add the connections in one answer; return whether more is to come."""
+    """Add the connections in one answer; return whether more answers follow."""
     start = 0
     while start < len(data):
         length, kind, _, _, _ = HEADER.unpack_from(data, start)
@@ -109,20 +110,20 @@
     """Return the connection that one message describes."""
     port, peer_port = struct.unpack_from(">HH", message, PORTS_OFFSET)
     (inode,) = struct.unpack_from("=I", message, INODE_OFFSET)
-    start, moved = MESSAGE_SIZE, 0
+    start, transferred = MESSAGE_SIZE, 0
     while start + ATTRIBUTE.size <= len(message):
         length, kind = ATTRIBUTE.unpack_from(message, start)
         if kind == INFO_ATTRIBUTE:
             offset = start + ATTRIBUTE.size + BYTES_OFFSET
-            moved = sum(struct.unpack_from("=QQ", message, offset))
+            transferred = sum(struct.unpack_from("=QQ", message, offset))
         start += max(4, (length + 3) & ~3)
-    return Connection(inode, port, peer_port, moved)
+    return Connection(inode, port, peer_port, transferred)
 
 
 class Traffic:
-    """Bytes that groups of processes exchange with all others.
+    """Counts the bytes that groups of processes exchange with all others.
 
-    A connection between two processes of one group is not counted: it would not
+    A connection between two processes of one group is not counted, since it would not
     leave the VM.
     """
 
@@ -130,10 +131,10 @@
         self._groups = groups
         self._first: dict[int, int] = {}
         self._latest: dict[str, dict[int, int]] = {name: {} for name in groups}
-        self.look(opening=True)
+        self.sample(opening=True)
 
-    def look(self, opening: bool = False) -> None:
-        """Read all counters; often enough that few connections end unread."""
+    def sample(self, opening: bool = False) -> None:
+        """Read all counters; call it often, as connections that close go uncounted."""
         connections = list_connections()
         for name, pids in self._groups.items():
             inodes = list_inodes(pids)
@@ -141,10 +142,12 @@
             for each in connections:
                 if each.inode not in inodes or each.peer_port in ports:
                     continue
-                self._first.setdefault(each.inode, each.moved if opening else 0)
-                self._latest[name][each.inode] = each.moved
+                self._first.setdefault(each.inode, each.transferred if opening else 0)
+                self._latest[name][each.inode] = each.transferred
 
     def sum_bytes(self, name: str) -> int:
-        """Return the bytes of a group since the first look."""
+        """Return the bytes of a group since the first sample."""
         latest = self._latest[name]
-        return sum(moved - self._first[inode] for inode, moved in latest.items())
+        return sum(
+            transferred - self._first[inode] for inode, transferred in latest.items()
+        )
--- a/tools/bench/placement.py
+++ b/tools/bench/placement.py
@@ -1,4 +1,4 @@
-"""Placement against first-fit on equal arrivals, and what a decision costs."""
+"""Compares placement with first-fit on equal arrivals, and measures its cost."""
 
 import json
 from concurrent.futures import ProcessPoolExecutor
@@ -41,9 +41,9 @@
 
 def make_scheduler(name: str, policy: Policy) -> Scheduler:
     if name == BASELINE:
-        return FirstFit(blocks=True)
+        return FirstFit(is_blocking=True)
     if name == SKIPPING:
-        return FirstFit(blocks=False)
+        return FirstFit(is_blocking=False)
     if name == "declared_times":
         return Primrosestile(policy, learns=False)
     if name == "without_moves":
@@ -106,7 +106,7 @@
         "not_finished": outcome.not_restarted,
         "mean_completion_seconds": average(completions),
         "p99_completion_seconds": find_quantile(completions, 0.99),
-        "longest_wait_seconds": round(outcome.longest_wait, 1),
+        "longest_wait_seconds": round(outcome.max_wait, 1),
         "urgent_start_p99_seconds": find_quantile(outcome.urgent_delays, 0.99),
         "urgent_start_max_seconds": find_quantile(outcome.urgent_delays, 1.0),
         "guarantee_trials": len(outcome.owed_delays),
@@ -145,8 +145,8 @@
     }
 
 
-def judge(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """Hold the worst figure of all workloads against each aim."""
+def compare_with_aims(rows: list[dict[str, Any]]) -> dict[str, Any]:
+    """Compare the worst figure of all workloads with each aim."""
     ours = [row["policies"][OURS] for row in rows]
     saturated = [
         row["policies"][OURS] for row in rows if row["workload"] == "saturation"
@@ -244,7 +244,7 @@
     report = {
         "seed": SEED,
         "window_seconds": WINDOW_SECONDS,
-        "aims": judge(rows),
+        "aims": compare_with_aims(rows),
         "workloads": rows,
         "slopes": measure_slopes(),
     }
--- a/tools/bench/placement_driver.py
+++ b/tools/bench/placement_driver.py
@@ -1,4 +1,4 @@
-"""A small virtual clock that plays arrivals against one policy, cell by cell.
+"""Simulates arrivals under one policy, cell by cell, on a virtual clock.
 
 It models only what the decisions see: starts, ends, stops that take seconds,
 cancellations, and workers that fail every task. Nothing waits in real time.
@@ -17,7 +17,7 @@
 from primrosestile.state.tenancy import Shape, Urgency
 from tools.bench.placement_workloads import Arrival
 
-# Seconds that the platform is assumed to take; the same for every policy.
+# Assumed delays of the platform, the same for every policy.
 START_SECONDS = 0.5
 CHECKPOINT_SECONDS = 2.0
 STOP_SECONDS = 0.5
@@ -45,13 +45,13 @@
 
 @dataclass
 class Outcome:
-    """What one run came to."""
+    """The measurements of one run."""
 
     completions: dict[str, float] = field(default_factory=dict)
     urgent_delays: list[float] = field(default_factory=list)
     probe_delays: list[float] = field(default_factory=list)
     owed_delays: list[float] = field(default_factory=list)
-    longest_wait: float = 0.0
+    max_wait: float = 0.0
     fragmentation: list[float] = field(default_factory=list)
     floor: list[float] = field(default_factory=list)
     scattered: list[float] = field(default_factory=list)
@@ -81,7 +81,7 @@
             "useless",
         ):
             getattr(self, name).extend(getattr(other, name))
-        self.longest_wait = max(self.longest_wait, other.longest_wait)
+        self.max_wait = max(self.max_wait, other.max_wait)
         for name in (
             "gangs_in_part",
             "infeasible_steps",
@@ -98,16 +98,16 @@
 @dataclass
 class _Job:
     arrival: Arrival
-    left: float
+    remaining_seconds: float
     attempt: int = 0
     ran_from: float | None = None
     first_start: float | None = None
     queued_at: float = 0.0
-    owed: bool = False
+    within_guarantee: bool = False
 
 
 class CellRun:
-    """Plays the arrivals of one cell."""
+    """Simulates the arrivals of one cell."""
 
     def __init__(
         self,
@@ -133,31 +133,33 @@
         self.events: list[tuple[float, int, str, str, int]] = []
         self.sequence = 0
         for arrival in arrivals:
-            self._at(arrival.accepted_at, "arrive", arrival.job_id)
+            self._schedule(arrival.accepted_at, "arrive", arrival.job_id)
             if arrival.cancelled_at is not None:
-                self._at(arrival.cancelled_at, "cancel", arrival.job_id)
-        self._at(SAMPLE_SECONDS, "sample", "")
+                self._schedule(arrival.cancelled_at, "cancel", arrival.job_id)
+        self._schedule(SAMPLE_SECONDS, "sample", "")
 
     def run(self) -> Outcome:
         while self.events:
             now, _, name, key, attempt = heapq.heappop(self.events)
             getattr(self, f"_on_{name}")(now, key, attempt)
-            if name != "sample" and not self._more_at(now):
+            if name != "sample" and not self._has_event_at(now):
                 self._decide(now)
         self.outcome.not_restarted += len(self.waiting)
         return self.outcome
 
-    def _at(self, time: float, name: str, key: str, attempt: int = 0) -> None:
+    def _schedule(self, time: float, name: str, key: str, attempt: int = 0) -> None:
         self.sequence += 1
         heapq.heappush(self.events, (time, self.sequence, name, key, attempt))
 
-    def _more_at(self, now: float) -> bool:
+    def _has_event_at(self, now: float) -> bool:
         return bool(self.events) and self.events[0][0] <= now
 
     def _on_arrive(self, now: float, job_id: str, _: int) -> None:
         job = self.jobs[job_id]
         job.queued_at = now
-        job.owed = job.arrival.is_probe and self._is_owed(job.arrival)
+        job.within_guarantee = job.arrival.is_probe and self._is_within_guarantee(
+            job.arrival
+        )
         self.waiting[job_id] = self._make_demand(job)
 
     def _make_demand(self, job: _Job) -> Demand:
@@ -173,14 +175,14 @@
             arrival.checkpoints,
             arrival.accepted_at,
             arrival.declared_seconds,
-            done_seconds=arrival.true_seconds - job.left,
+            done_seconds=arrival.true_seconds - job.remaining_seconds,
         )
 
-    def _is_owed(self, arrival: Arrival) -> bool:
-        """Whether the organisation holds less than its guarantee, in any policy.
+    def _is_within_guarantee(self, arrival: Arrival) -> bool:
+        """Whether the job fits in what its organisation has left of its guarantee.
 
-        Its patient work that can be stopped does not count, nor does work that
-        still waits; work that cannot be stopped counts in full.
+        Preemptible patient work of the organisation does not count as use, nor does
+        waiting work; non-preemptible work counts in full.
         """
         total = sum(
             shape.accelerators
@@ -221,21 +223,21 @@
         if free >= DEFAULT_SHAPE.accelerators:
             eight = measure_fragmentation(self.view, DEFAULT_SHAPE)
             self.outcome.scattered_eight.append(eight)
-        self.outcome.infeasible_samples += not self._can_keep_promises()
+        self.outcome.infeasible_samples += not self._can_meet_guarantees()
         for victim in self.scheduler.move(self.view, now):
             self.outcome.moved += 1
             self._stop(victim, now)
         if now + SAMPLE_SECONDS <= self.window:
-            self._at(now + SAMPLE_SECONDS, "sample", "")
+            self._schedule(now + SAMPLE_SECONDS, "sample", "")
 
     def _find_floor(self, free: int) -> float:
-        """Return the fragmentation of as many free accelerators, packed tightest."""
+        """Return the least possible fragmentation of that many free accelerators."""
         if free < self.largest.accelerators:
             return 1.0
         return free % DEFAULT_SHAPE.accelerators / free
 
-    def _can_keep_promises(self) -> bool:
-        """Whether rooms are found, also for a policy that knows of no promises."""
+    def _can_meet_guarantees(self) -> bool:
+        """Whether the guarantees still fit, also under a policy that ignores them."""
         view = CellView(self.view.workers, self.promised)
         for worker, usable in zip(view.workers, self.view.usable, strict=True):
             view.set_usable(worker.name, usable)
@@ -291,7 +293,7 @@
         seconds = STOP_SECONDS
         if self.view.holdings[victim].checkpoints:
             seconds += CHECKPOINT_SECONDS
-        self._at(now + seconds, "stop", victim, self.jobs[victim].attempt)
+        self._schedule(now + seconds, "stop", victim, self.jobs[victim].attempt)
 
     def _on_stop(self, now: float, job_id: str, attempt: int) -> None:
         job = self.jobs[job_id]
@@ -300,12 +302,14 @@
         self.outcome.stopped += 1
         ran = max(0.0, now - (job.ran_from or now))
         if job.arrival.checkpoints:
-            job.left = max(1.0, job.left - max(0.0, ran - CHECKPOINT_SECONDS))
+            job.remaining_seconds = max(
+                1.0, job.remaining_seconds - max(0.0, ran - CHECKPOINT_SECONDS)
+            )
         else:
             self.outcome.lost_seconds += ran * job.arrival.shape.accelerators
-        self._give_back(job, now)
+        self._requeue(job, now)
 
-    def _give_back(self, job: _Job, now: float) -> None:
+    def _requeue(self, job: _Job, now: float) -> None:
         job.attempt += 1
         self.view.release(job.arrival.job_id)
         self.waiting[job.arrival.job_id] = self._make_demand(job)
@@ -332,20 +336,20 @@
         job.ran_from = now + START_SECONDS
         if job.first_start is None:
             job.first_start = now + START_SECONDS
-            self._note_delay(job)
+            self._record_delay(job)
         if any(member.worker in self.bad for member in holding.members):
-            self._at(now + FAILURE_SECONDS, "fail", holding.job_id, job.attempt)
+            self._schedule(now + FAILURE_SECONDS, "fail", holding.job_id, job.attempt)
             return
-        end = job.ran_from + job.left
-        self._at(end, "end", holding.job_id, job.attempt)
+        end = job.ran_from + job.remaining_seconds
+        self._schedule(end, "end", holding.job_id, job.attempt)
 
-    def _note_delay(self, job: _Job) -> None:
+    def _record_delay(self, job: _Job) -> None:
         assert job.first_start is not None
         delay = job.first_start - job.arrival.accepted_at
-        self.outcome.longest_wait = max(self.outcome.longest_wait, delay)
+        self.outcome.max_wait = max(self.outcome.max_wait, delay)
         if job.arrival.is_probe:
             self.outcome.probe_delays.append(delay)
-            if job.owed:
+            if job.within_guarantee:
                 self.outcome.owed_delays.append(delay)
         elif job.arrival.urgency is Urgency.URGENT:
             self.outcome.urgent_delays.append(delay)
@@ -368,21 +372,21 @@
         holding = self.view.holdings[job_id]
         for member in holding.members:
             if member.worker in self.bad:
-                self._note_failure(now, member.worker)
+                self._record_failure(now, member.worker)
         if job.arrival.evictable:
-            self._give_back(job, now)
+            self._requeue(job, now)
             return
         job.attempt += 1
         self.outcome.not_restarted += 1
         self.view.release(job_id)
         self._finish_reclaims(now)
 
-    def _note_failure(self, now: float, worker: str) -> None:
+    def _record_failure(self, now: float, worker: str) -> None:
         self.failures[worker] = self.failures.get(worker, 0) + 1
         if self.failures[worker] >= QUARANTINE_FAILURES:
             self.failures[worker] = 0
             self.view.set_usable(worker, False)
-            self._at(now + QUARANTINE_SECONDS, "return", worker)
+            self._schedule(now + QUARANTINE_SECONDS, "return", worker)
 
     def _on_return(self, now: float, worker: str, _: int) -> None:
         self.view.set_usable(worker, True)
--- a/tools/bench/placement_schedulers.py
+++ b/tools/bench/placement_schedulers.py
@@ -1,4 +1,4 @@
-"""The policies under test: ours, with variations, and the baselines."""
+"""The policies under test: ours with variants, and the baselines."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
@@ -20,15 +20,15 @@
 
 @dataclass
 class Primrosestile:
-    """The decisions as they are.
+    """The product's decisions.
 
     Attributes:
-        learns: Whether run times are learned; if not, declared ones are used.
+        learns: Whether measured run times are used; if not, declared ones are.
     """
 
     policy: Policy
     learns: bool = True
-    learned: RunTimes = field(default_factory=RunTimes)
+    run_times: RunTimes = field(default_factory=RunTimes)
     moves: bool = True
     moved_at: float = 0.0
 
@@ -40,12 +40,12 @@
     def decide(
         self, view: CellView, waiting: Sequence[Demand], now: float
     ) -> Iterator[tuple[Demand, Decision]]:
-        ordered = order_demands(waiting, view, self.policy, self.learned, now)
+        ordered = order_demands(waiting, view, self.policy, self.run_times, now)
         return decide_waiting(view, ordered, self.policy, now)
 
     def learn(self, job_class: str, seconds: float) -> None:
         if self.learns:
-            self.learned.record(job_class, seconds)
+            self.run_times.record(job_class, seconds)
 
     def move(self, view: CellView, now: float) -> Sequence[str]:
         if not self.moves or now - self.moved_at < INTERVAL_SECONDS:
@@ -59,13 +59,13 @@
 
 @dataclass
 class FirstFit:
-    """In order of arrival, at the first place that fits; stops nothing.
+    """Places jobs in order of arrival where they first fit; stops nothing.
 
     Attributes:
-        blocks: Whether a job that finds no place holds back those behind it.
+        is_blocking: Whether a job that does not fit blocks the jobs behind it.
     """
 
-    blocks: bool
+    is_blocking: bool
 
     def make_view(
         self, workers: Sequence[Worker], promised: Sequence[tuple[str, Shape]]
@@ -90,7 +90,7 @@
                 continue
             failed.add(demand.shape)
             yield demand, Waits(ReasonCode.WAITS_FOR_ROOM, "", 1.0)
-            if self.blocks:
+            if self.is_blocking:
                 return
 
     def learn(self, job_class: str, seconds: float) -> None:
--- a/tools/bench/placement_slopes.py
+++ b/tools/bench/placement_slopes.py
@@ -1,4 +1,4 @@
-"""What one placement decision costs, by the size of the cell."""
+"""Measures the cost of one placement decision by the size of the cell."""
 
 import gc
 import random
@@ -35,8 +35,8 @@
     ]
 
 
-def make_promises(workers: int) -> list[tuple[str, Shape]]:
-    """Promise about half of the cell, to as many organisations as it has racks."""
+def make_guaranteed_shapes(workers: int) -> list[tuple[str, Shape]]:
+    """Return guarantees of about half of the cell to up to 16 organisations."""
     racks = workers // WORKERS_PER_RACK
     promised: list[tuple[str, Shape]] = []
     for rack in range(racks):
@@ -50,17 +50,17 @@
 
 
 def make_demand(
-    chance: random.Random, number: int, shape: Shape, organisation: str = ""
+    rng: random.Random, number: int, shape: Shape, organisation: str = ""
 ) -> Demand:
     return Demand(
         job_id=f"j{number}",
-        organisation=organisation or f"o{chance.randrange(16)}",
+        organisation=organisation or f"o{rng.randrange(16)}",
         team="t",
         job_class=f"c{number % 12}",
         shape=shape,
-        urgency=chance.choice(tuple(Urgency)),
-        evictable=chance.random() < 0.85,
-        checkpoints=chance.random() < 0.5,
+        urgency=rng.choice(tuple(Urgency)),
+        evictable=rng.random() < 0.85,
+        checkpoints=rng.random() < 0.5,
         accepted_at=float(number),
         declared_seconds=600.0,
     )
@@ -83,24 +83,25 @@
     )
 
 
-def fill(view: CellView, share: float, chance: random.Random) -> None:
+def fill(view: CellView, share: float, rng: random.Random) -> None:
     """Fill a share of the cell through the decisions themselves."""
     wanted = (1.0 - share) * sum(view.capacity)
     number = 0
     while sum(view.free_counts) > wanted and number < 40 * len(view.workers):
         number += 1
-        # The organisations of the 64-gangs hold nothing: theirs is to be reclaimed.
-        owner = f"o{chance.choice((1, 2, 3, 5, 6, 7, 9, 10, 11, 13, 14, 15))}"
-        demand = make_demand(chance, number, chance.choice(MIX), owner)
+        # The organisations with guaranteed 64-gangs hold nothing, so that their share
+        # must be reclaimed.
+        owner = f"o{rng.choice((1, 2, 3, 5, 6, 7, 9, 10, 11, 13, 14, 15))}"
+        demand = make_demand(rng, number, rng.choice(MIX), owner)
         decision = decide_placement(view, demand, POLICY, float(number))
         if isinstance(decision, Placed):
             view.hold(make_holding(demand, decision, float(number)))
 
 
 def measure_decisions(workers: int, share: float) -> dict[str, Any]:
-    chance = random.Random(SEED)
-    view = CellView(make_workers(workers), make_promises(workers))
-    fill(view, share, chance)
+    rng = random.Random(SEED)
+    view = CellView(make_workers(workers), make_guaranteed_shapes(workers))
+    fill(view, share, rng)
     shapes = {"gang_64_in_guarantee": GANG, "gang_64_borrowing": GANG, "one": Shape(1)}
     figures: dict[str, Any] = {
         "workers": workers,
@@ -112,7 +113,7 @@
         kinds: dict[str, int] = {}
         for number in range(SAMPLES):
             owner = f"o{4 * (number % 4)}" if name == "gang_64_in_guarantee" else ""
-            demand = make_demand(chance, 10**6 + number, shape, owner)
+            demand = make_demand(rng, 10**6 + number, shape, owner)
             began = time.perf_counter()
             decision = decide_placement(view, demand, POLICY, 10.0**6)
             seconds.append(time.perf_counter() - began)
@@ -121,7 +122,7 @@
         figures[name] = {**summarise(seconds), "decisions": kinds}
     figures["rebuild_ms"] = measure_rebuild(view, workers)
     figures["bytes_per_job"] = measure_memory(view, workers)
-    figures["order_1000_waiting_ms"] = measure_order(view, chance)
+    figures["order_1000_waiting_ms"] = measure_order(view, rng)
     return figures
 
 
@@ -135,21 +136,21 @@
 
 
 def measure_rebuild(view: CellView, workers: int) -> float:
-    """Read the cell back from its holdings, as after taking it over."""
+    """Return the time to rebuild the cell from its holdings, as after a takeover."""
     holdings = list(view.holdings.values())
     random.Random(SEED).shuffle(holdings)
     began = time.perf_counter()
-    rebuilt = CellView(make_workers(workers), make_promises(workers))
+    rebuilt = CellView(make_workers(workers), make_guaranteed_shapes(workers))
     rebuilt.hold_all(holdings)
     rebuilt.allocations.read()
     return round(1000 * (time.perf_counter() - began), 3)
 
 
 def measure_memory(view: CellView, workers: int) -> float:
-    """Memory of the view for each job, without the caller's own records."""
+    """Return the view's memory for each job, without the caller's own records."""
     gc.collect()
     tracemalloc.start()
-    rebuilt = CellView(make_workers(workers), make_promises(workers))
+    rebuilt = CellView(make_workers(workers), make_guaranteed_shapes(workers))
     empty = tracemalloc.get_traced_memory()[0]
     for holding in view.holdings.values():
         rebuilt.hold(holding)
@@ -158,31 +159,29 @@
     return round((full - empty) / max(1, len(rebuilt.holdings)), 1)
 
 
-def measure_order(view: CellView, chance: random.Random) -> float:
-    demands = [
-        make_demand(chance, number, chance.choice(MIX)) for number in range(1000)
-    ]
-    learned = RunTimes()
+def measure_order(view: CellView, rng: random.Random) -> float:
+    demands = [make_demand(rng, number, rng.choice(MIX)) for number in range(1000)]
+    run_times = RunTimes()
     began = time.perf_counter()
-    order_demands(demands, view, POLICY, learned, 2000.0)
+    order_demands(demands, view, POLICY, run_times, 2000.0)
     return round(1000 * (time.perf_counter() - began), 3)
 
 
 def measure_record() -> dict[str, float]:
-    """Memory of one job's holding and of one task (a member) in it."""
-    chance = random.Random(SEED)
+    """Return the memory of one job's holding and of one task (a member) in it."""
+    rng = random.Random(SEED)
     view = CellView(make_workers(8), ())
     sizes = []
     for count in (8, 64):
         tracemalloc.start()
-        kept = []
+        holdings = []
         for number in range(500):
             shape = Shape(count, Adjacency.RACK)
-            demand = make_demand(chance, number, shape)
+            demand = make_demand(rng, number, shape)
             decision = decide_placement(view, demand, POLICY, 0.0)
             assert isinstance(decision, Placed)
-            kept.append(make_holding(demand, decision, 0.0))
-        sizes.append(tracemalloc.get_traced_memory()[0] / len(kept))
+            holdings.append(make_holding(demand, decision, 0.0))
+        sizes.append(tracemalloc.get_traced_memory()[0] / len(holdings))
         tracemalloc.stop()
     task = (sizes[1] - sizes[0]) / 7
     return {
--- a/tools/bench/placement_workloads.py
+++ b/tools/bench/placement_workloads.py
@@ -1,9 +1,9 @@
-"""Arrivals of gang jobs for the placement benchmark, from fixed seeds.
+"""Generates gang-job arrivals for the placement benchmark from fixed seeds.
 
-Every policy gets the same arrivals. Sizes and run times follow the two
-deployments: short previews and quotes that a person waits for, captions and
-surcharge runs that must not run twice, and long renders and rebuilds that need
-adjacent accelerators. A declared run time is off by up to ten times either way.
+Every policy gets the same arrivals. Sizes and run times follow the two deployments:
+short previews and quotes that a person waits for, captions and surcharge runs that must
+not run twice, and long renders and rebuilds that need adjacent accelerators. A declared
+run time is wrong by a factor of up to ten either way.
 """
 
 import random
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One job: what is asked for, and what nobody knows beforehand."""
+    """One job: its request, and what the scheduler does not know in advance."""
 
     job_id: str
     organisation: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class JobKind:
-    """One sort of job: shape, length and how often it comes."""
+    """One kind of job: shapes, run time and relative frequency."""
 
     name: str
     shapes: tuple[Shape, ...]
@@ -121,11 +121,10 @@
 
 @dataclass(frozen=True)
 class Workload:
-    """How kinds, organisations and times are drawn.
+    """The distributions from which kinds, organisations and times are drawn.
 
     Attributes:
-        load: Accelerator seconds asked for, as a share of the capacity over the
-            window.
+        load: Requested accelerator-seconds, as a share of the capacity over the window.
         bad_workers: Workers of each cell that fail every task.
     """
 
@@ -133,7 +132,7 @@
     load: float
     kinds: tuple[JobKind, ...] = KINDS
     shares: tuple[int, ...] = SHARES
-    draw_time: Callable[[random.Random], float] = lambda chance: chance.uniform(
+    draw_time: Callable[[random.Random], float] = lambda rng: rng.uniform(
         0, WINDOW_SECONDS
     )
     cancelled_share: float = 0.0
@@ -148,11 +147,11 @@
     )
 
 
-def _draw_burst(chance: random.Random) -> float:
-    burst = chance.choice((0.1, 0.4, 0.7)) * WINDOW_SECONDS
-    if chance.random() < 0.2:
-        return chance.uniform(0, WINDOW_SECONDS)
-    return burst + chance.uniform(0, 120)
+def _draw_burst(rng: random.Random) -> float:
+    burst = rng.choice((0.1, 0.4, 0.7)) * WINDOW_SECONDS
+    if rng.random() < 0.2:
+        return rng.uniform(0, WINDOW_SECONDS)
+    return burst + rng.uniform(0, 120)
 
 
 WORKLOADS = (
@@ -175,21 +174,21 @@
     deployment: Deployment, workload: Workload, seed: int
 ) -> list[Arrival]:
     """Draw the arrivals of a workload; equal arguments give equal arrivals."""
-    chance = random.Random(f"{deployment.name} {workload.name} {seed}")
-    homes = _find_homes(deployment)
+    rng = random.Random(f"{deployment.name} {workload.name} {seed}")
+    home_cells = _find_home_cells(deployment)
     capacity = sum(worker.accelerators for worker in deployment.fleet.workers)
     left = workload.load * capacity * WINDOW_SECONDS
     arrivals = []
     while left > 0:
-        arrival = _draw_arrival(deployment, workload, chance, homes, len(arrivals))
+        arrival = _draw_arrival(deployment, workload, rng, home_cells, len(arrivals))
         left -= arrival.true_seconds * arrival.shape.accelerators
         arrivals.append(arrival)
-    arrivals += _make_probes(deployment, chance)
+    arrivals += _make_probes(deployment, rng)
     return sorted(arrivals, key=lambda each: (each.accepted_at, each.job_id))
 
 
-def _find_homes(deployment: Deployment) -> dict[str, list[str]]:
-    """Find the cells in which an organisation's shapes are promised."""
+def _find_home_cells(deployment: Deployment) -> dict[str, list[str]]:
+    """Return the cells in which each organisation has guaranteed shapes."""
     assigned = assign_guarantees(deployment.fleet, deployment.guarantees)
     return {
         organisation: [
@@ -204,47 +203,47 @@
 def _draw_arrival(
     deployment: Deployment,
     workload: Workload,
-    chance: random.Random,
-    homes: dict[str, list[str]],
+    rng: random.Random,
+    home_cells: dict[str, list[str]],
     index: int,
 ) -> Arrival:
-    (organisation,) = chance.choices(ORGANISATIONS, workload.shares)
-    (kind,) = chance.choices(workload.kinds, [each.weight for each in workload.kinds])
-    seconds = chance.uniform(*kind.seconds)
-    factor = workload.declared_factor ** chance.uniform(-1, 1)
+    (organisation,) = rng.choices(ORGANISATIONS, workload.shares)
+    (kind,) = rng.choices(workload.kinds, [each.weight for each in workload.kinds])
+    seconds = rng.uniform(*kind.seconds)
+    factor = workload.declared_factor ** rng.uniform(-1, 1)
     # Urgent work goes to its organisation's own cells; patient work anywhere.
     cells = (
-        homes[organisation]
+        home_cells[organisation]
         if kind.urgent
         else [cell.name for cell in deployment.fleet.cells]
     )
-    accepted_at = workload.draw_time(chance)
+    accepted_at = workload.draw_time(rng)
     cancelled_at = None
-    if chance.random() < workload.cancelled_share and not kind.urgent:
+    if rng.random() < workload.cancelled_share and not kind.urgent:
         cancelled_at = (accepted_at // 1200 + 1) * 1200.0
     return Arrival(
         f"j{index:05}",
         organisation,
         f"{organisation}/{kind.name}",
-        chance.choice(kind.shapes),
+        rng.choice(kind.shapes),
         Urgency.URGENT if kind.urgent else Urgency.PATIENT,
         kind.evictable,
         kind.checkpoints,
         accepted_at,
         seconds * factor,
         seconds,
-        chance.choice(cells),
+        rng.choice(cells),
         cancelled_at,
     )
 
 
-def _make_probes(deployment: Deployment, chance: random.Random) -> list[Arrival]:
-    """Make organisations ask for a guaranteed shape every few minutes."""
+def _make_probes(deployment: Deployment, rng: random.Random) -> list[Arrival]:
+    """Return requests of every organisation for its guaranteed shapes at intervals."""
     assigned = assign_guarantees(deployment.fleet, deployment.guarantees)
     probes = []
     for cell, units in assigned.items():
         for number, (organisation, shape) in enumerate(units):
-            start = WARM_UP_SECONDS + chance.uniform(0, PROBE_SECONDS)
+            start = WARM_UP_SECONDS + rng.uniform(0, PROBE_SECONDS)
             while start < WINDOW_SECONDS:
                 probes.append(
                     Arrival(
--- a/tools/bench/readings.py
+++ b/tools/bench/readings.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and traffic of running programs."""
+"""Measures the processor time, memory and traffic of running programs."""
 
 import asyncio
 import time
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True)
 class Reading:
-    """What programs spent over some seconds.
+    """What programs used over some seconds.
 
     Attributes:
-        seconds: How long was measured.
-        processor: Seconds of processor a second, by program kind.
-        memory: Resident megabytes at the end, by program kind.
-        traffic: Bytes a second over the loopback interface, by everybody.
+        seconds: Length of the measurement.
+        processor: Processor seconds a second, by program name.
+        memory: Resident megabytes at the end, by program name.
+        traffic: Bytes a second over the loopback interface, of all processes.
         store_calls: Calls to the store a second, by kind of call.
     """
 
@@ -56,7 +56,7 @@
 
 
 def measure(deployment: Deployment, action: Callable[[], object]) -> Reading:
-    """Return what the programs spend while an action goes on."""
+    """Return what the programs use while an action runs."""
     programs = list_programs(deployment)
     before = {name: read_processor(each) for name, each in programs.items()}
     calls = deployment.store.read_calls()
@@ -81,8 +81,8 @@
     )
 
 
-def rest(deployment: Deployment, seconds: float) -> Reading:
-    """Return what the programs spend while nobody asks for anything."""
+def measure_at_rest(deployment: Deployment, seconds: float) -> Reading:
+    """Return what the programs use for some seconds without callers."""
     return measure(deployment, lambda: time.sleep(seconds))
 
 
@@ -97,19 +97,19 @@
     calls: Sequence[Callable[[aiohttp.ClientSession], Awaitable[None]]],
     concurrency: int,
 ) -> float:
-    """Make HTTP calls, some at once; return the seconds that they took."""
+    """Make HTTP calls with some concurrency; return the seconds that they took."""
 
     async def run() -> float:
         connector = aiohttp.TCPConnector(limit=concurrency)
         async with aiohttp.ClientSession(connector=connector) as session:
             remaining = iter(calls)
 
-            async def work() -> None:
+            async def send() -> None:
                 for call in remaining:
                     await call(session)
 
             started = time.monotonic()
-            await asyncio.gather(*(work() for _ in range(concurrency)))
+            await asyncio.gather(*(send() for _ in range(concurrency)))
             return time.monotonic() - started
 
     return asyncio.run(run())
--- a/tools/bench/recovery.py
+++ b/tools/bench/recovery.py
@@ -1,8 +1,8 @@
-"""How long callers and operators wait after something has failed.
+"""Measures how long callers and operators wait after a failure.
 
-Every figure is taken on real processes beside the stand-in: the time from an event
-to the moment at which its effect can be seen from outside. What is polled is polled
-every 20 ms, so each figure is too high by up to that.
+Every figure is the time from an event to its effect as seen from outside, on real
+processes with the stand-in. The effect is polled every 20 ms, so each figure is too
+high by up to that.
 """
 
 import contextlib
@@ -20,7 +20,7 @@
 from tools.launch import Deployment, Program, call_json
 
 POLL_SECONDS = 0.02
-BOUND_SECONDS = 120.0
+TIMEOUT_SECONDS = 120.0
 TRIALS = 5
 CHANGES = 10
 SETTINGS_VMS = (3, 9, 27)
@@ -32,7 +32,7 @@
 
 @contextlib.contextmanager
 def run_deployment(workers: int, vms: int, kinds: Any = None) -> Iterator[Deployment]:
-    """Run a deployment whose cells are owned."""
+    """Run a deployment and yield it when its programs are ready and settled."""
     with Deployment(make_settings(workers), drain_seconds=0.5) as deployment:
         deployment.start_platform()
         for number in range(vms):
@@ -47,8 +47,8 @@
     """Return the seconds until a condition holds."""
     started = time.monotonic()
     while not condition():
-        if time.monotonic() - started > BOUND_SECONDS:
-            raise TimeoutError("the condition never held")
+        if time.monotonic() - started > TIMEOUT_SECONDS:
+            raise TimeoutError("the condition did not hold in time")
         time.sleep(POLL_SECONDS)
     return time.monotonic() - started
 
@@ -66,7 +66,7 @@
 
 
 def list_recovered(deployment: Deployment) -> dict[str, int]:
-    """Return the epoch of each cell that a placer has recovered."""
+    """Return the epochs of the cells that placers have recovered."""
     return {
         cell["cell"]: cell["epoch"]
         for program in deployment.list_programs("placer")
@@ -99,7 +99,7 @@
 
 
 def measure_takeover() -> dict[str, Any]:
-    """From the kill of a cell's owner to the cell being owned and recovered."""
+    """Measure from the kill of a cell's owner until the cell is recovered."""
     seconds = []
     store_calls = []
     with run_deployment(24, 4) as deployment:
@@ -131,7 +131,7 @@
 
 
 def measure_retry() -> dict[str, Any]:
-    """From the loss of a whole VM to an answer through another entry."""
+    """Measure from the loss of a VM until an answer through another entry."""
     seconds = []
     with run_deployment(24, 4) as deployment:
         for number in range(3):
@@ -141,10 +141,10 @@
 
 
 def measure_leaving(**order: Any) -> dict[str, Any]:
-    """From a worker's leaving to the last new work that it was given.
+    """Measure from a worker's leaving until the last new work that it was given.
 
     Args:
-        order: How the stand-in makes it known, by the list or by its own word.
+        order: How the stand-in announces it, by the VM list or by the worker.
     """
     with run_deployment(24, 3) as deployment:
         worker = deployment.settings.fleet.workers[0].name
@@ -182,7 +182,7 @@
 
 
 def measure_settings(vms: int) -> dict[str, Any]:
-    """From an accepted change to its being in force in every process."""
+    """Measure from an accepted change until it is in force in every process."""
     seconds = []
     with run_deployment(24, vms) as deployment:
         programs = [
@@ -227,7 +227,7 @@
 
 
 def measure_outage() -> dict[str, Any]:
-    """A store outage of a minute, four leases long, in which the owner dies too."""
+    """Measure a store outage of a minute, four task leases, with the owner killed."""
     with run_deployment(24, 4) as deployment:
         submit_render(deployment)
         time_until(lambda: count_running(deployment) == 2)
@@ -248,17 +248,17 @@
         running = count_running(deployment)
         before = deployment.store.read_calls()
         deployment.store.set_faults(store={"down": False})
-        back = time_until(lambda: len(list_recovered(deployment)) == 3)
+        recovery_seconds = time_until(lambda: len(list_recovered(deployment)) == 3)
         after = deployment.store.read_calls()
-        still = count_running(deployment)
+        running_after = count_running(deployment)
     return {
         "outage_seconds": OUTAGE_SECONDS,
         "task_lease_seconds": TASK_LEASE_SECONDS,
         "members_running_at_end": running,
-        "members_running_after_return": still,
+        "members_running_after_return": running_after,
         "quotes_answered": sum(quotes),
         "quotes_sent": len(quotes),
-        "owned_again_seconds": back,
+        "owned_again_seconds": recovery_seconds,
         "store_calls_on_return": sum(after.values()) - sum(before.values()),
     }
 
--- a/tools/bench/requests.py
+++ b/tools/bench/requests.py
@@ -1,7 +1,7 @@
-"""The bench of short requests: what callers notice under load and faults.
+"""Measures what callers of short requests get under load and faults.
 
-`run(output)` drives each workload with the product's decisions, the baseline and
-other ways to queue or choose, and writes `requests.json` and a plot a workload.
+`run(output)` simulates each workload with the product's decisions, the baseline and
+other queues or routers, and writes `requests.json` and a plot for each workload.
 """
 
 import json
@@ -54,7 +54,7 @@
     ]
 
 
-def list_ends(results: list[Result], outcomes: Sequence[str]) -> list[float]:
+def list_durations(results: list[Result], outcomes: Sequence[str]) -> list[float]:
     return [
         each.ended - each.arrival.waiting.arrived_at
         for each in results
@@ -81,8 +81,8 @@
         "wait_seconds": {
             each.value: describe_times(list_waits(results, each)) for each in Urgency
         },
-        "answer_seconds": describe_times(list_ends(results, ("ok",))),
-        "refusal_seconds": describe_times(list_ends(results, REFUSALS)),
+        "answer_seconds": describe_times(list_durations(results, ("ok",))),
+        "refusal_seconds": describe_times(list_durations(results, REFUSALS)),
         "good_share_by_organisation": {
             name: round(good_by[name] / count, 3)
             for name, count in sorted(offered.items())
@@ -91,7 +91,7 @@
 
 
 def plot_plan(plan: Plan, outcomes: dict[str, Outcome], path: Path) -> None:
-    """Draw what was answered in time, and how long requests waited to start."""
+    """Plot what was answered in time, and how long requests waited to start."""
     figure, (above, below) = plt.subplots(2, 1, figsize=(8, 7))
     for name, outcome in outcomes.items():
         ends = [each.ended for each in outcome.results if each.good]
@@ -110,20 +110,20 @@
     plt.close(figure)
 
 
-def compare(ways: dict[str, Factory], names: Sequence[str]) -> dict[str, Any]:
-    """Run other ways on some workloads."""
+def compare(variants: dict[str, Factory], names: Sequence[str]) -> dict[str, Any]:
+    """Run variants and the product on some workloads."""
     figures: dict[str, Any] = {}
     for name in names:
         plan = find_plan(name)
         figures[name] = {
-            way: describe(drive(plan, factory, queue_inside=False))
-            for way, factory in (*ways.items(), ("product", make_product))
+            variant: describe(drive(plan, factory, queue_inside=False))
+            for variant, factory in (*variants.items(), ("product", make_product))
         }
     return figures
 
 
-def judge(workloads: dict[str, Any]) -> dict[str, Any]:
-    """Return each aim beside what was measured."""
+def compare_with_aims(workloads: dict[str, Any]) -> dict[str, Any]:
+    """Return each aim with the measured figure."""
     product = {name: each["product"] for name, each in workloads.items()}
 
     def compare_p99(slow: str, even: str) -> float:
@@ -163,11 +163,13 @@
             "fifo-random": drive(plan, make_fifo, queue_inside=True),
             "product": drive(plan, make_product, queue_inside=False),
         }
-        workloads[name] = {way: describe(each) for way, each in outcomes.items()}
+        workloads[name] = {
+            variant: describe(each) for variant, each in outcomes.items()
+        }
         plot_plan(plan, outcomes, output / f"{name}.png")
         print(f"{name}: done")
     figures = {
-        "aims": judge(workloads),
+        "aims": compare_with_aims(workloads),
         "workloads": workloads,
         "ways_to_queue": compare(QUEUES, QUEUE_PLANS),
         "ways_to_choose": compare(ROUTERS, ROUTER_PLANS),
--- a/tools/bench/requests_driver.py
+++ b/tools/bench/requests_driver.py
@@ -1,8 +1,8 @@
-"""A small virtual-clock driver: the same arrivals for every policy under test.
+"""Simulates the same request arrivals for every policy on a virtual clock.
 
-Workers here only count slots and time. Each request's own run time, and so the
-work that a policy is offered, is drawn before the run; a policy can not change
-it but by where and when it sends the request.
+Workers are modelled only by slots and time. Each request's run time, and so the offered
+load, is drawn before the run; a policy affects it only by where and when it sends the
+request.
 """
 
 import heapq
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request as the caller sends it; `run` is what it takes when undisturbed."""
+    """One request of a caller; `run` is its run time in seconds on a usual worker."""
 
     waiting: QueuedRequest
     run: float
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One workload: arrivals in order, and what goes wrong with workers."""
+    """One workload: arrivals in order, and the faults of workers."""
 
     name: str
     arrivals: tuple[Arrival, ...]
@@ -63,14 +63,14 @@
     name: str
     slots: int
     running: int = 0
-    inside: int = 0
+    queued: int = 0
     waiting: deque[tuple[float, Callable[[bool, float], None]]] = field(
         default_factory=deque
     )
 
 
 class Clock:
-    """Virtual time: runs what is due, in order."""
+    """A virtual clock that runs scheduled calls in order."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -78,19 +78,19 @@
         self._sequence = 0
 
     def call_at(self, time: float, call: Callable[[], None]) -> None:
-        """Run something at a time, or now if that has passed."""
+        """Schedule a call at a time, or now if that has passed."""
         self._sequence += 1
         heapq.heappush(self._events, (max(time, self.now), self._sequence, call))
 
     def run(self) -> None:
-        """Run until nothing is left to do."""
+        """Run until no call is left."""
         while self._events:
             self.now, _, call = heapq.heappop(self._events)
             call()
 
 
 class Fleet:
-    """Workers with slots; what exceeds the slots waits inside, or is refused."""
+    """Workers with slots; requests beyond the slots queue there or are refused."""
 
     def __init__(self, plan: Plan, clock: Clock, queue_inside: bool) -> None:
         self._plan = plan
@@ -115,8 +115,8 @@
             self._clock.call_at(self._clock.now, lambda: done("leaving", 0.0))
         elif worker.running < worker.slots:
             self._start(worker, run, finish)
-        elif self._queue_inside and worker.inside < CONNECTIONS:
-            worker.inside += 1
+        elif self._queue_inside and worker.queued < CONNECTIONS:
+            worker.queued += 1
             worker.waiting.append((run, finish))
         else:
             self.refused += 1
@@ -136,7 +136,7 @@
             worker.running -= 1
             finish(ok, seconds)
             if worker.waiting and worker.running < worker.slots:
-                worker.inside -= 1
+                worker.queued -= 1
                 self._start(worker, *worker.waiting.popleft())
 
         self._clock.call_at(self._clock.now + seconds, end)
@@ -146,15 +146,15 @@
     """A policy under test, as all entries together."""
 
     def arrive(self, result: Result) -> None:
-        """Take in one request."""
+        """Accept one request."""
 
     def cancel(self, results: list[Result]) -> None:
-        """Cancel what still waits."""
+        """Cancel those that still wait."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """All that one policy made of one plan."""
+    """The result of one policy on one plan."""
 
     results: list[Result]
     attempts: int
@@ -166,7 +166,7 @@
 
 
 def drive(plan: Plan, factory: Factory, queue_inside: bool) -> Outcome:
-    """Run one plan with one policy to its end."""
+    """Simulate one plan with one policy to its end."""
     clock = Clock()
     fleet = Fleet(plan, clock, queue_inside)
     entries = factory(plan, clock, fleet)
@@ -204,7 +204,7 @@
 def make_arrivals(
     sources: list[Source], entries: int, seed: int
 ) -> tuple[Arrival, ...]:
-    """Return the arrivals of all sources in order, the same for the same seed."""
+    """Return the arrivals of all sources in order; equal seeds give equal arrivals."""
     arrivals = []
     for number, source in enumerate(sources):
         draw = random.Random(seed * 1000 + number)
--- a/tools/bench/requests_policies.py
+++ b/tools/bench/requests_policies.py
@@ -1,4 +1,4 @@
-"""The policies that the bench of requests compares, product and baselines."""
+"""The policies that the request benchmark compares: the product and a baseline."""
 
 import random
 from collections import deque
@@ -24,7 +24,7 @@
 
 
 def end(result: Result, outcome: str, now: float) -> None:
-    """Answer the caller, once."""
+    """Record the caller's only answer."""
     assert result.outcome == "open", (result.outcome, outcome)
     result.ended = now
     result.outcome = outcome
@@ -32,7 +32,7 @@
 
 
 class FifoEntries:
-    """One queue in order of arrival, and a random target: the plain baseline."""
+    """The baseline: a queue in order of arrival at each entry, and random targets."""
 
     def __init__(self, plan: Plan, clock: Clock, fleet: Fleet) -> None:
         self._plan = plan
@@ -41,7 +41,7 @@
         self._random = random.Random(7)
         self._waiting: list[deque[Result]] = [deque() for _ in range(plan.entries)]
         self._running = [0] * plan.entries
-        self._most = plan.workers * plan.slots // plan.entries
+        self._max_running = plan.workers * plan.slots // plan.entries
 
     def arrive(self, result: Result) -> None:
         """Take in one request."""
@@ -58,7 +58,7 @@
     def _pump(self, entry: int) -> None:
         now = self._clock.now
         waiting = self._waiting[entry]
-        while waiting and self._running[entry] < self._most:
+        while waiting and self._running[entry] < self._max_running:
             result = waiting.popleft()
             if now >= result.arrival.waiting.deadline:
                 end(result, "refused_late", now)
@@ -66,15 +66,15 @@
             result.started = now
             self._send(entry, result, 3)
 
-    def _send(self, entry: int, result: Result, tries: int) -> None:
+    def _send(self, entry: int, result: Result, attempts: int) -> None:
         self._running[entry] += 1
         target = self._random.choice(self._plan.worker_names)
 
         def done(outcome: str, seconds: float) -> None:
             self._running[entry] -= 1
-            again = outcome != "ok" and result.arrival.waiting.idempotent
-            if again and tries > 1:
-                self._send(entry, result, tries - 1)
+            retry = outcome != "ok" and result.arrival.waiting.idempotent
+            if retry and attempts > 1:
+                self._send(entry, result, attempts - 1)
             else:
                 end(result, outcome, self._clock.now)
             self._pump(entry)
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """A request that is under way, with where it has been tried."""
+    """An open request and the targets that it was sent to."""
 
     result: Result
     tried: frozenset[str] = frozenset()
@@ -92,20 +92,22 @@
 
 
 class Entry:
-    """One entry of the product, wired as the entry program wires it."""
+    """One entry of the product, composed as in the entry program."""
 
-    def __init__(self, name: str, clock: Clock, fleet: Fleet, ways: "Ways") -> None:
+    def __init__(
+        self, name: str, clock: Clock, fleet: Fleet, parts: "EntryParts"
+    ) -> None:
         self.name = name
         self._clock = clock
         self._fleet = fleet
         self._attempts: dict[str, Attempt] = {}
         self._check_at: float | None = None
         policy = Policy()
-        self.queue = ways.queue(policy)
-        self.router = ways.router(name, policy)
+        self.queue = parts.queue(policy)
+        self.router = parts.router(name, policy)
 
     def arrive(self, result: Result) -> None:
-        """Take in one request, or refuse it."""
+        """Accept one request or refuse it."""
         waiting = result.arrival.waiting
         refusal = self.queue.offer(waiting, self._clock.now)
         if refusal is not None:
@@ -116,14 +118,14 @@
         self.pump()
 
     def cancel(self, results: list[Result]) -> None:
-        """Cancel what still waits, in one pass."""
+        """Cancel those that still wait, in one pass."""
         ids = [result.arrival.waiting.request_id for result in results]
         for waiting in self.queue.remove(ids):
             attempt = self._attempts.pop(waiting.request_id)
             end(attempt.result, "cancelled", self._clock.now)
 
     def pump(self) -> None:
-        """Send what has a slot; answer what has become hopeless."""
+        """Send requests that have a slot, and answer late ones."""
         now = self._clock.now
         self.queue.set_slots(self.router.count_slots(now))
         chosen = ""
@@ -139,9 +141,9 @@
             if waiting is None:
                 break
             self._send(self._attempts[waiting.request_id], chosen)
-        self._answer_hopeless()
+        self._answer_late()
 
-    def _answer_hopeless(self) -> None:
+    def _answer_late(self) -> None:
         now = self._clock.now
         for waiting, _ in self.queue.remove_late(now):
             attempt = self._attempts.pop(waiting.request_id)
@@ -203,13 +205,13 @@
         if outcome != "ok":
             if attempt.open_attempts:
                 return
-            again = waiting.idempotent or not_run
-            if again and self._try_again(waiting):
+            retry = waiting.idempotent or not_run
+            if retry and self._retry(waiting):
                 return
         self._attempts.pop(waiting.request_id, None)
         end(attempt.result, outcome, now)
 
-    def _try_again(self, waiting: QueuedRequest) -> bool:
+    def _retry(self, waiting: QueuedRequest) -> bool:
         now = self._clock.now
         if not self.router.may_retry(waiting, now):
             return False
@@ -217,8 +219,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
-    """How to queue and how to choose targets; the product's ways by default."""
+class EntryParts:
+    """The queue and the router of an entry; the product's by default."""
 
     queue: Callable[[Policy], RequestQueue] = make_queue
     router: Callable[[str, Policy], Router] = make_router
@@ -227,11 +229,13 @@
 class ProductEntries:
     """All entries of the product, and the owner that grants them slots."""
 
-    def __init__(self, plan: Plan, clock: Clock, fleet: Fleet, ways: Ways) -> None:
+    def __init__(
+        self, plan: Plan, clock: Clock, fleet: Fleet, parts: EntryParts
+    ) -> None:
         self._plan = plan
         self._clock = clock
         names = [f"entry-{number}" for number in range(plan.entries)]
-        self.entries = [Entry(name, clock, fleet, ways) for name in names]
+        self.entries = [Entry(name, clock, fleet, parts) for name in names]
         self._ledger = make_grant_ledger(0.0, took_over=False)
         last = max((each.waiting.arrived_at for each in plan.arrivals), default=0.0)
         self._grant_until = last + 30.0
@@ -251,7 +255,7 @@
 
     def _grant(self) -> None:
         now = self._clock.now
-        # The list of VMs lags; a worker that leaves says so two seconds earlier.
+        # The VM list lags: a leaving worker says so itself two seconds earlier.
         leaving = frozenset(
             name for name, time in self._plan.leaving.items() if now >= time + 2.0
         )
@@ -281,4 +285,4 @@
 
 def make_product(plan: Plan, clock: Clock, fleet: Fleet) -> Entries:
     """Return the product's decisions."""
-    return ProductEntries(plan, clock, fleet, Ways())
+    return ProductEntries(plan, clock, fleet, EntryParts())
--- a/tools/bench/requests_slopes.py
+++ b/tools/bench/requests_slopes.py
@@ -1,4 +1,4 @@
-"""What one decision costs, by length of the queue and size of the fleet."""
+"""Measures the cost of request decisions by queue length and fleet size."""
 
 import time
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 def measure(call: Callable[[], int]) -> float:
-    """Return the microseconds of one decision: the best of a few repeats."""
+    """Return the microseconds of one decision, the best of a few repeats."""
     best = float("inf")
     for _ in range(REPEATS):
         begin = time.perf_counter()
@@ -106,19 +106,19 @@
     cells = [names[first : first + CELL] for first in range(0, workers, CELL)]
     granted = dict.fromkeys(names, 1)
 
-    def take_in_grants() -> int:
+    def apply_grants() -> int:
         for cell in cells:
             router.set_grants(cell, granted, 3.0, 0.0)
         return 1
 
-    def take_in_fleet() -> int:
+    def apply_fleet() -> int:
         router.set_targets(slots, frozenset(), 0.0)
         return 1
 
     return {
         "choose_start_finish_us": measure(serve),
-        "take_in_all_grants_us": measure(take_in_grants),
-        "take_in_fleet_us": measure(take_in_fleet),
+        "take_in_all_grants_us": measure(apply_grants),
+        "take_in_fleet_us": measure(apply_fleet),
         "share_safely_us": measure(
             lambda: len(share_safely(slots, ENTRIES, "entry-0")) // workers
         ),
@@ -126,7 +126,7 @@
 
 
 def measure_owner(workers: int) -> dict[str, float]:
-    """Return what a round of grants costs the owner of so many workers."""
+    """Return the cost of granting slots for the owner of that many workers."""
     slots = {f"worker-{number}": 8 for number in range(workers)}
     demand = {entry: 10 * number for number, entry in enumerate(ENTRIES)}
     ledger = make_grant_ledger(0.0, took_over=False)
--- a/tools/bench/requests_workloads.py
+++ b/tools/bench/requests_workloads.py
@@ -1,4 +1,4 @@
-"""The workloads of the bench of requests: fixed seeds, 24 workers with 8 slots."""
+"""The workloads of the request benchmark: fixed seeds, 24 workers with 8 slots."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -9,8 +9,8 @@
 
 SEED = 20261202
 SLOTS = 24 * 8
-RUN = 1.0
-DEADLINE = 10.0
+RUN_SECONDS = 1.0
+DEADLINE_SECONDS = 10.0
 ORGANISATIONS = ("a", "b", "c", "d")
 
 
@@ -20,16 +20,23 @@
     for organisation in ORGANISATIONS:
         for urgency in Urgency:
             share = urgent_share if urgency is Urgency.URGENT else 1 - urgent_share
-            rate = load * SLOTS / RUN * share / len(ORGANISATIONS)
+            rate = load * SLOTS / RUN_SECONDS * share / len(ORGANISATIONS)
             if rate <= 0:
                 continue
-            source = Source(organisation, urgency.value, urgency, rate, RUN, DEADLINE)
+            source = Source(
+                organisation,
+                urgency.value,
+                urgency,
+                rate,
+                RUN_SECONDS,
+                DEADLINE_SECONDS,
+            )
             sources.append(replace(source, **changes))  # type: ignore[arg-type]
     return sources
 
 
 def make_plan(name: str, sources: list[Source], **changes: object) -> Plan:
-    """Return a plan whose arrivals depend on nothing but its sources."""
+    """Return a plan whose arrivals depend only on its sources."""
     return replace(
         Plan(name, make_arrivals(sources, 6, SEED)),
         **changes,  # type: ignore[arg-type]
@@ -37,7 +44,7 @@
 
 
 def make_bursts() -> Plan:
-    """Half of the capacity, and four times the capacity for four seconds, thrice."""
+    """Half of the capacity, with three 4 s bursts of four times the capacity."""
     sources = spread(0.5)
     for begin in (10.0, 30.0, 50.0):
         sources += spread(3.5, begin=begin, end=begin + 4.0)
@@ -46,11 +53,16 @@
 
 def make_skew() -> Plan:
     """One organisation sends twice the capacity, half of it to one entry."""
-    big = Source("a", "bulk", Urgency.URGENT, SLOTS, RUN, DEADLINE)
+    big = Source("a", "bulk", Urgency.URGENT, SLOTS, RUN_SECONDS, DEADLINE_SECONDS)
     sources = [big, replace(big, entry=0)]
     for organisation in ORGANISATIONS[1:]:
         quote = Source(
-            organisation, "quote", Urgency.URGENT, SLOTS * 0.1, RUN, DEADLINE
+            organisation,
+            "quote",
+            Urgency.URGENT,
+            SLOTS * 0.1,
+            RUN_SECONDS,
+            DEADLINE_SECONDS,
         )
         sources.append(quote)
     return make_plan("skew", sources)
@@ -65,9 +77,11 @@
 
 
 def make_waves() -> Plan:
-    """Patient bulk that is cancelled by the thousand while urgent work goes on."""
-    urgent = Source("a", "quote", Urgency.URGENT, SLOTS * 0.5, RUN, DEADLINE)
-    bulk = Source("b", "captions", Urgency.PATIENT, SLOTS * 2.0, RUN, 120.0)
+    """Patient bulk work that is cancelled by the thousand beside urgent work."""
+    urgent = Source(
+        "a", "quote", Urgency.URGENT, SLOTS * 0.5, RUN_SECONDS, DEADLINE_SECONDS
+    )
+    bulk = Source("b", "captions", Urgency.PATIENT, SLOTS * 2.0, RUN_SECONDS, 120.0)
     plan = make_plan("cancellation-waves", [urgent, bulk])
     return replace(
         plan, arrivals=tuple(cancel_in_waves(each) for each in plan.arrivals)
--- a/tools/bench/site.py
+++ b/tools/bench/site.py
@@ -1,9 +1,9 @@
-"""What callers get on heavy days: ours, first fit and a bound, over drawn days.
+"""Compares our planner with first fit and an upper bound on random heavy days.
 
 `scripts/bench site` plays each workload file on equal arrivals under each planner and
-prints what callers got by kind of job, in the worst seconds, and what was thrown away,
-beside what no scheduler could pass; `site.json` has the same and `site.png` a plot.
-The rows *servable* leave out the callers whom nobody could have served.
+prints what callers got by kind of job and in the worst seconds, what was thrown away,
+and a bound that no scheduler can exceed. `site.json` has the same figures, `site.png` a
+plot. The *servable* rows leave out callers whom no scheduler could have served.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 def play_or_bound(path: Path, planner: str, seed: int) -> dict[str, float]:
-    """Play one day, or say what nobody could pass on it."""
+    """Play one day, or return its upper bound."""
     if planner != BOUND:
         return play(path, planner, seed)
     workload = read_workload(path)
@@ -42,7 +42,7 @@
 
 
 def compare(path: Path, planners: list[str]) -> dict[str, dict[str, float]]:
-    """Return each planner's mean figures over the seeds, and the spread of worth."""
+    """Return each planner's mean figures over the seeds."""
     table = {}
     with ProcessPoolExecutor(PROCESSES) as pool:
         for planner in planners:
--- a/tools/bench/site_bound.py
+++ b/tools/bench/site_bound.py
@@ -1,7 +1,7 @@
-"""What no scheduler could pass on a drawn day, foresee it what it will.
+"""Upper bounds on a day's figures for any scheduler, even with perfect foresight.
 
-`docs/decisions-work.md` says how the bound is derived, and by what it is loose. Each
-figure has a bound of its own, as if the callers that it leaves out were not there.
+`docs/decisions-work.md` describes how the bound is derived and what makes it loose.
+Each figure is bounded separately, as if the callers that it leaves out were absent.
 """
 
 import math
@@ -11,74 +11,74 @@
 
 from tools.bench.site_dual import Dual
 from tools.bench.site_measures import (
-    FEWEST_IN_GROUP,
+    MIN_GROUP_SIZE,
     WINDOW_SECONDS,
     WORST_WINDOWS,
     group,
     weigh,
     weigh_nines,
 )
-from tools.bench.site_options import list_ways
+from tools.bench.site_options import list_options
 from tools.bench.site_room import EARLY_SECONDS, Room, make_room
-from tools.bench.site_workloads import Arrival, Workload, find_heard_at, is_servable
+from tools.bench.site_workloads import Arrival, Workload, find_notice_time, is_servable
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds on what a day's callers get, whoever schedules."""
+    """Bounds on what a day's callers get under any scheduler."""
 
     workload: Workload
     room: Room
-    _known: dict[tuple[str, ...], float] = field(default_factory=dict)
+    _shares: dict[tuple[str, ...], float] = field(default_factory=dict)
 
     def find_share(self, arrivals: list[Arrival]) -> float:
-        """Return the most that some callers get, of what is owed to them.
+        """Return a bound on the share of the owed worth that some callers get.
 
-        Whether a caller who may cancel counts depends on the schedule: it is taken
-        as served in full, which lowers no share.
+        Whether a caller who may cancel counts depends on the schedule. It is assumed
+        to be served in full, which can't lower the share.
         """
         key = tuple(each.submission.job_id for each in arrivals)
-        if key not in self._known:
-            self._known[key] = self._find_share(arrivals)
-        return self._known[key]
+        if key not in self._shares:
+            self._shares[key] = self._find_share(arrivals)
+        return self._shares[key]
 
     def _find_share(self, arrivals: list[Arrival]) -> float:
-        surely = [each for each in arrivals if not self.may_cancel(each)]
-        given = sum(each.worth for each in arrivals if self.may_cancel(each))
-        owed = given + sum(each.worth for each in surely)
-        credits = [(each.worth, each.late_worth) for each in surely]
-        return (given + self._find_most(surely, credits)) / owed if owed else 1.0
+        certain = [each for each in arrivals if not self.may_cancel(each)]
+        credited = sum(each.worth for each in arrivals if self.may_cancel(each))
+        owed = credited + sum(each.worth for each in certain)
+        credits = [(each.worth, each.late_worth) for each in certain]
+        return (credited + self._bound_credit(certain, credits)) / owed if owed else 1.0
 
     def count_unserved(self, arrivals: list[Arrival]) -> int:
-        """Return how many callers get nothing at the least."""
-        surely = [each for each in arrivals if not self.may_cancel(each)]
+        """Return a lower bound on the number of callers who get nothing."""
+        certain = [each for each in arrivals if not self.may_cancel(each)]
         credits = [
-            (float(each.worth > 0), float(each.late_worth > 0)) for each in surely
+            (float(each.worth > 0), float(each.late_worth > 0)) for each in certain
         ]
-        served = self._find_most(surely, credits)
-        return max(0, len(surely) - math.floor(served + 1e-6))
+        served = self._bound_credit(certain, credits)
+        return max(0, len(certain) - math.floor(served + 1e-6))
 
     def may_cancel(self, arrival: Arrival) -> bool:
-        """Whether its caller's word ends the job, if nothing else did before.
+        """Whether the caller's cancellation can end the job.
 
-        What is cancelled before anybody has heard of it isn't cancelled.
+        A cancellation that comes before the owner knows of the job has no effect.
         """
         if arrival.cancelled_at is None:
             return False
-        heard_at = find_heard_at(self.workload, arrival.at)
-        return arrival.cancelled_at >= heard_at - EARLY_SECONDS
+        noticed_at = find_notice_time(self.workload, arrival.at)
+        return arrival.cancelled_at >= noticed_at - EARLY_SECONDS
 
-    def _find_most(
+    def _bound_credit(
         self, arrivals: list[Arrival], credits: list[tuple[float, float]]
     ) -> float:
-        ways = list_ways(self.workload, self.room, arrivals, credits)
-        return Dual(self.room, ways).find_bound()
+        options = list_options(self.workload, self.room, arrivals, credits)
+        return Dual(self.room, options).find_bound()
 
 
 def bound_day(
     workload: Workload, arrivals: list[Arrival], seed: int
 ) -> dict[str, float]:
-    """Return bounds on a day's figures; those that are no bounds are left out."""
+    """Return bounds on a day's figures; figures without a bound are left out."""
     needs = {each.submission.steps[0].need for each in arrivals}
     bounds = Bounds(workload, make_room(workload, seed, needs))
     share = bounds.find_share
@@ -89,7 +89,7 @@
     unserved = bounds.count_unserved(arrivals)
     figures["served in nines"] = weigh_nines(unserved, len(arrivals))
     figures["worst organisation"] = _find_worst(
-        bounds, arrivals, lambda each: each.submission.organisation, FEWEST_IN_GROUP
+        bounds, arrivals, lambda each: each.submission.organisation, MIN_GROUP_SIZE
     )
     figures["worst kind"] = _find_worst(
         bounds, arrivals, lambda each: each.kind.queue, 1
@@ -108,13 +108,13 @@
     bounds: Bounds,
     arrivals: list[Arrival],
     key: Callable[[Arrival], str],
-    fewest: int,
+    min_size: int,
 ) -> float:
-    """Return a bound on the worst group, of those that surely count."""
+    """Return a bound on the worst group, of the groups that count in any schedule."""
     shares = [
         bounds.find_share(found)
         for found in group(arrivals, key).values()
-        if sum(not bounds.may_cancel(each) for each in found) >= fewest
+        if sum(not bounds.may_cancel(each) for each in found) >= min_size
     ]
     return min(shares, default=1.0)
 
@@ -126,6 +126,6 @@
         for found in windows.values()
         if not all(map(bounds.may_cancel, found))
     )
-    # With fewer, others may count that hold only callers who cancel.
+    # With fewer windows, those that hold only callers who cancel may count.
     shares += [1.0] * max(0, WORST_WINDOWS - len(shares))
     return mean(shares[:WORST_WINDOWS])
--- a/tools/bench/site_driver.py
+++ b/tools/bench/site_driver.py
@@ -1,9 +1,9 @@
-"""Plays a day's jobs against the owner's decisions, on a virtual clock.
+"""Simulates a day's jobs under the owner's decisions on a virtual clock.
 
-Only what decides is real: the picture, one pass after another, and what is learned
-from ends. Workers here start at once, stop in a fixed time and take as long as they
-take; some stand still, turn slow, fail what they start or leave, as the workload
-says. There is no network, no store and no process.
+Only the decisions are real: the fleet state, the scheduling passes and the run
+statistics. Simulated workers start at once, stop in a fixed time and run for the drawn
+times; some stall, slow down, fail what they start or leave, as the workload says. There
+is no network, store or process.
 """
 
 import heapq
@@ -37,23 +37,23 @@
     Fault,
     Trouble,
     Workload,
-    draw_struck,
+    draw_affected,
     is_servable,
     name_rack,
 )
 
 TICK_SECONDS = 0.25
-# How often a worker's progress is heard of while nothing ends on it.
-LOOK_SECONDS = 1.0
-# A worker that fails everything does so this soon after a start.
+# Interval at which each worker's progress is polled.
+POLL_SECONDS = 1.0
+# Time from a start to its failure on a worker that fails everything.
 FAIL_SECONDS = 0.04
-# From an order to the worker's word, and from a stop to its end.
+# Time from an order to the start of its task, and from a stop to the task's end.
 START_SECONDS = 0.01
 STOP_SECONDS = 0.2
-# A start is sent three times, and given up when nothing of it was answered.
-START_GIVEN_UP_SECONDS = 1.35
+# A start is sent three times, and abandoned when no attempt is answered.
+START_TIMEOUT_SECONDS = 1.35
 FAR_FACTOR = 3.0
-# Jobs may end this much after the last has come.
+# Jobs may end until this long after the last arrival.
 CLOSING_SECONDS = 40.0
 
 
@@ -70,7 +70,7 @@
 def plan_first_fit(
     fleet_state: FleetState, durations: Durations, speeds: Speeds, now: float
 ) -> Plan:
-    """Start what fits in the order of arrival; keep, stop and learn nothing."""
+    """Start what fits in order of arrival, without reservations or preemption."""
     rooms = make_rooms(fleet_state, now)
     starts = []
     waiting = sorted(fleet_state.list_waiting(now), key=lambda unit: unit.job.accepted)
@@ -91,11 +91,11 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of one job.
+    """The outcome of one job.
 
     Attributes:
         ended_at: None when it did not end in the day.
-        servable: Whether somebody could have served its caller at all.
+        servable: Whether any scheduler could have served its caller.
     """
 
     arrival: Arrival
@@ -119,16 +119,16 @@
 
 @dataclass(slots=True)
 class Day:
-    """Everything that is counted of a day.
+    """The counts of a day.
 
     Attributes:
         thrown_away: Core-seconds of runs that were stopped or failed, not saved.
         far: Runs away from their data or over several racks.
-        stops: Runs that were stopped, for others or since they were cancelled.
+        stops: Runs that were stopped, for other units or on cancellation.
         restarts: Starts of units after their first.
-        most_starts: Of one unit.
-        passes: Passes made.
-        rescues: Runs that were stopped since a member stood still.
+        max_starts: The most starts of one unit.
+        passes: Scheduling passes.
+        stall_restarts: Runs that were stopped because a member stalled.
     """
 
     outcomes: list[Outcome] = field(default_factory=list)
@@ -136,7 +136,7 @@
     far: int = 0
     stops: int = 0
     restarts: int = 0
-    most_starts: int = 0
+    max_starts: int = 0
     passes: int = 0
     stall_restarts: int = 0
 
@@ -146,9 +146,9 @@
     """One run of a unit.
 
     Attributes:
-        seconds: By member, on a usual worker, from nothing to all of its work.
-        shares: How much of it each member has done, as of `at`.
-        plans: Counts changes of its end; what was planned before them is void.
+        seconds: Time of all of each member's work on a usual worker.
+        shares: Share of the work that each member has done, as of `at`.
+        end_version: Counts changes of its end; ends scheduled before are void.
     """
 
     unit: Unit
@@ -159,19 +159,19 @@
     shares: list[float]
     resumed: bool
     fails: bool = False
-    plans: int = 0
+    end_version: int = 0
 
-    def advance(self, now: float, paces: dict[str, float]) -> None:
-        """Count the work done since the last call, at each worker's present pace."""
+    def advance(self, now: float, slowdowns: dict[str, float]) -> None:
+        """Add the work done since the last call at each worker's current speed."""
         for index, member in enumerate(self.unit.members):
-            taken = self.seconds[index] * paces[member.worker]
+            taken = self.seconds[index] * slowdowns[member.worker]
             self.shares[index] += (now - self.at) / taken
         self.at = now
 
-    def find_left(self, paces: dict[str, float]) -> float:
-        """Return when the slowest member has done all of its work, at this pace."""
+    def find_remaining_seconds(self, slowdowns: dict[str, float]) -> float:
+        """Return the seconds until the slowest member is done at the current speed."""
         return max(
-            max(0.0, 1 - share) * seconds * paces[member.worker]
+            max(0.0, 1 - share) * seconds * slowdowns[member.worker]
             for share, seconds, member in zip(
                 self.shares, self.seconds, self.unit.members, strict=True
             )
@@ -179,12 +179,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learning:
-    """What a day begins to learn with."""
+class RunStatistics:
+    """The run statistics and quarantine that a day starts with."""
 
     durations: Durations = field(default_factory=Durations)
     speeds: Speeds = field(default_factory=Speeds)
-    trust: WorkerQuarantine = field(default_factory=WorkerQuarantine)
+    quarantine: WorkerQuarantine = field(default_factory=WorkerQuarantine)
 
 
 class SiteRun:
@@ -196,28 +196,28 @@
         arrivals: list[Arrival],
         planner: Planner,
         seed: int = 0,
-        learning: Learning | None = None,
+        statistics: RunStatistics | None = None,
     ) -> None:
         self._workload = workload
         self._planner = planner
         self._arrivals = {each.submission.job_id: each for each in arrivals}
-        learning = learning or Learning()
-        self._durations = learning.durations
-        self._speeds = learning.speeds
-        self._trust = learning.trust
-        self._board = FleetState(_make_policy(workload), wall=0.0)
-        # How many times as long as usual each worker takes at present.
-        self._paces: dict[str, float] = {}
-        self._looked_at: dict[str, float] = {}
+        statistics = statistics or RunStatistics()
+        self._durations = statistics.durations
+        self._speeds = statistics.speeds
+        self._quarantine = statistics.quarantine
+        self._fleet_state = FleetState(_make_policy(workload), wall=0.0)
+        # How many times as long as a usual worker each worker takes at present.
+        self._slowdowns: dict[str, float] = {}
+        self._polled_at: dict[str, float] = {}
         self._failing: Counter[str] = Counter()
         self._silent: Counter[str] = Counter()
-        self._away = 0
+        self._owner_outages = 0
         for number in range(workload.workers):
             entry = _make_worker(workload, number)
-            self._board.add_worker(entry).acquired = True
+            self._fleet_state.add_worker(entry).acquired = True
             turn = number % len(workload.speeds)
-            self._paces[entry.worker] = workload.speeds[turn]
-            self._looked_at[entry.worker] = LOOK_SECONDS * number / workload.workers
+            self._slowdowns[entry.worker] = workload.speeds[turn]
+            self._polled_at[entry.worker] = POLL_SECONDS * number / workload.workers
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = itertools.count()
         self._now = 0.0
@@ -227,7 +227,7 @@
         self._failed_once: set[str] = set()
         self._stopping: set[int] = set()
         self._outcomes: dict[str, Outcome] = {}
-        self._unheard: list[Arrival] = []
+        self._unnoticed: list[Arrival] = []
         self.day = Day()
         for arrival in arrivals:
             self._call_at(arrival.at, lambda each=arrival: self._admit(each))
@@ -235,71 +235,71 @@
                 self._call_at(
                     arrival.cancelled_at, lambda each=arrival: self._cancel(each)
                 )
-        struck = draw_struck(workload, seed)
-        for trouble, numbers in zip(workload.troubles, struck, strict=True):
-            self._plan_trouble(trouble, [f"w{number}" for number in numbers])
+        affected = draw_affected(workload, seed)
+        for trouble, numbers in zip(workload.troubles, affected, strict=True):
+            self._schedule_fault(trouble, [f"w{number}" for number in numbers])
 
     def run(self) -> Day:
-        """Play the day to its end."""
+        """Simulate the day to its end."""
         ends_at = self._workload.seconds + CLOSING_SECONDS
         tick = 0.0
         while tick < ends_at:
             tick = min(self._now + TICK_SECONDS, ends_at)
             if self._events and self._events[0][0] <= tick:
-                self._now, _, act = heapq.heappop(self._events)
-                act()
+                self._now, _, action = heapq.heappop(self._events)
+                action()
                 while self._events and self._events[0][0] <= self._now + 0.004:
                     heapq.heappop(self._events)[2]()
             else:
                 self._now = tick
-            if not self._away:
+            if not self._owner_outages:
                 self._pass()
         self.day.outcomes = list(self._outcomes.values())
         self.day.restarts = sum(count - 1 for count in self._starts.values())
-        self.day.most_starts = max(self._starts.values(), default=0)
+        self.day.max_starts = max(self._starts.values(), default=0)
         return self.day
 
-    def _call_at(self, at: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._count), act))
+    def _call_at(self, at: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._count), action))
 
-    def _plan_trouble(self, trouble: Trouble, struck: list[str]) -> None:
+    def _schedule_fault(self, trouble: Trouble, affected: list[str]) -> None:
         ends_at = trouble.at + trouble.seconds
-        self._call_at(trouble.at, lambda: self._strike(trouble, struck, 1))
-        self._call_at(ends_at, lambda: self._strike(trouble, struck, -1))
+        self._call_at(trouble.at, lambda: self._apply_fault(trouble, affected, 1))
+        self._call_at(ends_at, lambda: self._apply_fault(trouble, affected, -1))
 
-    def _strike(self, trouble: Trouble, struck: list[str], sign: int) -> None:
-        """Begin a fault, or end it."""
+    def _apply_fault(self, trouble: Trouble, affected: list[str], sign: int) -> None:
+        """Begin a fault (sign 1) or end it (sign -1)."""
         if trouble.fault is Fault.AWAY:
-            self._away += sign
-            for arrival in self._unheard if not self._away else ():
-                self._hear(arrival)
-            self._unheard = self._unheard if self._away else []
+            self._owner_outages += sign
+            for arrival in self._unnoticed if not self._owner_outages else ():
+                self._accept(arrival)
+            self._unnoticed = self._unnoticed if self._owner_outages else []
         elif trouble.fault is Fault.FAIL:
-            for name in struck:
+            for name in affected:
                 self._failing[name] += sign
         elif trouble.fault is Fault.SILENT:
-            for name in struck:
+            for name in affected:
                 self._silent[name] += sign
         elif trouble.fault is Fault.LEAVE:
-            for name in struck:
+            for name in affected:
                 self._leave(name, sign)
         else:
-            factor = math.inf if trouble.fault is Fault.STILL else trouble.factor
-            self._change_paces(struck, factor, sign)
+            factor = math.inf if trouble.fault is Fault.STALLED else trouble.factor
+            self._change_slowdowns(affected, factor, sign)
 
-    def _change_paces(self, struck: list[str], factor: float, sign: int) -> None:
+    def _change_slowdowns(self, affected: list[str], factor: float, sign: int) -> None:
         for run in self._runs.values():
-            run.advance(self._now, self._paces)
-        for name in struck:
+            run.advance(self._now, self._slowdowns)
+        for name in affected:
             turn = int(name[1:]) % len(self._workload.speeds)
-            usual = self._workload.speeds[turn]
-            self._paces[name] = usual * factor if sign > 0 else usual
+            typical = self._workload.speeds[turn]
+            self._slowdowns[name] = typical * factor if sign > 0 else typical
         for run in self._runs.values():
-            if any(member.worker in struck for member in run.unit.members):
+            if any(member.worker in affected for member in run.unit.members):
                 self._plan_end(run)
 
     def _leave(self, name: str, sign: int) -> None:
-        worker = self._board.workers.get(name)
+        worker = self._fleet_state.workers.get(name)
         if worker is None:
             return
         if sign > 0:
@@ -309,47 +309,49 @@
             run = self._runs.pop(id(member.unit), None)
             if run is not None:
                 self._throw_away(run)
-        self._board.drop_worker(name, Proof.LIFE_OVER)
+        self._fleet_state.drop_worker(name, Proof.LIFE_OVER)
 
     def _admit(self, arrival: Arrival) -> None:
         servable = is_servable(self._workload, arrival)
         self._outcomes[arrival.submission.job_id] = Outcome(arrival, servable)
-        if self._away:
-            self._unheard.append(arrival)
+        if self._owner_outages:
+            self._unnoticed.append(arrival)
         else:
-            self._hear(arrival)
+            self._accept(arrival)
 
-    def _hear(self, arrival: Arrival) -> None:
+    def _accept(self, arrival: Arrival) -> None:
         age = self._now - arrival.at
-        job = self._board.admit(arrival.submission, None, self._now, age)
-        self._board.open_occurrence(job, 0)
+        job = self._fleet_state.admit(arrival.submission, None, self._now, age)
+        self._fleet_state.open_occurrence(job, 0)
 
     def _cancel(self, arrival: Arrival) -> None:
-        job = self._board.jobs.get(arrival.submission.job_id)
+        job = self._fleet_state.jobs.get(arrival.submission.job_id)
         if job is not None and not job.state.final:
             self._outcomes[job.job_id].cancelled = True
-            self._board.finish(job, JobState.CANCELLED)
+            self._fleet_state.finish(job, JobState.CANCELLED)
 
     def _pass(self) -> None:
         self.day.passes += 1
-        self._note_progress()
-        plan = self._planner(self._board, self._durations, self._speeds, self._now)
-        for rescue in plan.stall_restarts:
-            until = self._trust.note_stalled(
-                rescue.worker.name, self._now, len(self._board.workers)
+        self._poll_workers()
+        plan = self._planner(
+            self._fleet_state, self._durations, self._speeds, self._now
+        )
+        for restart in plan.stall_restarts:
+            until = self._quarantine.note_stalled(
+                restart.worker.name, self._now, len(self._fleet_state.workers)
             )
-            rescue.worker.quarantined_until = max(
-                rescue.worker.quarantined_until, until
+            restart.worker.quarantined_until = max(
+                restart.worker.quarantined_until, until
             )
             self.day.stall_restarts += 1
         for start in plan.starts:
             names = [worker.name for worker in start.workers]
-            self._board.order(start.unit, names, self._now)
+            self._fleet_state.order(start.unit, names, self._now)
             self._starts[id(start.unit)] += 1
             self._call_at(
                 self._now + START_SECONDS, lambda unit=start.unit: self._begin(unit)
             )
-        for member in list(self._board.list_stopping()):
+        for member in list(self._fleet_state.list_stopping()):
             unit = member.unit
             if id(unit) not in self._stopping:
                 self._stopping.add(id(unit))
@@ -357,18 +359,18 @@
                     self._now + STOP_SECONDS, lambda each=unit: self._stop(each)
                 )
 
-    def _note_progress(self) -> None:
+    def _poll_workers(self) -> None:
         due = {
             name
-            for name, at in self._looked_at.items()
-            if self._now - at >= LOOK_SECONDS
+            for name, at in self._polled_at.items()
+            if self._now - at >= POLL_SECONDS
         }
         for name in due:
-            self._looked_at[name] = self._now
+            self._polled_at[name] = self._now
         for run in self._runs.values():
             if not any(member.worker in due for member in run.unit.members):
                 continue
-            run.advance(self._now, self._paces)
+            run.advance(self._now, self._slowdowns)
             for member, share in zip(run.unit.members, run.shares, strict=True):
                 if member.worker not in due:
                     continue
@@ -384,7 +386,8 @@
         if any(self._silent[member.worker] for member in unit.members):
             run = unit.run
             self._call_at(
-                self._now + START_GIVEN_UP_SECONDS, lambda: self._give_up(unit, run)
+                self._now + START_TIMEOUT_SECONDS,
+                lambda: self._abandon_start(unit, run),
             )
             return
         arrival = self._arrivals[unit.job.job_id]
@@ -394,7 +397,7 @@
         for index, member in enumerate(unit.members):
             position = index if unit.step.gang else unit.key.position
             seconds.append(arrival.seconds[position] * (FAR_FACTOR if far else 1.0))
-            self._board.note_up(member, self._now)
+            self._fleet_state.note_up(member, self._now)
         done = self._saved.get(id(unit), 0.0)
         shares = [done] * unit.size
         run = _Run(unit, unit.run, self._now, self._now, seconds, shares, done > 0)
@@ -408,15 +411,15 @@
             run.fails = True
         self._plan_end(run)
 
-    def _give_up(self, unit: Unit, run: int) -> None:
-        """End a start that was not answered; something may run all the same."""
+    def _abandon_start(self, unit: Unit, run: int) -> None:
+        """Abandon a start that was not answered; its tasks may run nevertheless."""
         if unit.run == run:
-            self._board.abandon(unit)
+            self._fleet_state.abandon(unit)
 
     def _plan_end(self, run: _Run) -> None:
-        run.plans += 1
-        plan = run.plans
-        left = run.find_left(self._paces)
+        run.end_version += 1
+        plan = run.end_version
+        left = run.find_remaining_seconds(self._slowdowns)
         kind = EndKind.DONE
         if run.fails:
             kind = EndKind.FAILED
@@ -424,12 +427,13 @@
         if left < math.inf:
             self._call_at(
                 self._now + left,
-                lambda: self._end(run, kind) if run.plans == plan else None,
+                lambda: self._end(run, kind) if run.end_version == plan else None,
             )
 
     def _is_far(self, unit: Unit) -> bool:
         racks = {
-            self._board.workers[member.worker].entry.rack for member in unit.members
+            self._fleet_state.workers[member.worker].entry.rack
+            for member in unit.members
         }
         step = unit.step
         if step.data_rack:
@@ -443,46 +447,46 @@
         unit = run.unit
         job = unit.job
         if kind is EndKind.DONE:
-            self._learn(unit, run)
+            self._record_run(unit, run)
         else:
             self._throw_away(run)
-            self._note_failed(unit, run)
+            self._record_failure(unit, run)
         members = list(unit.members)
         for member in members:
-            self._board.note_end(member.task, member.run, kind, "")
+            self._fleet_state.note_end(member.task, member.run, kind, "")
         for member in members:
-            self._board.note_gone(member, Proof.ENDED)
+            self._fleet_state.note_gone(member, Proof.ENDED)
         if job.state.final and job.state is not JobState.CANCELLED:
             outcome = self._outcomes[job.job_id]
             outcome.ended_at = self._now
             outcome.failed = job.state is not JobState.COMPLETED
 
-    def _learn(self, unit: Unit, run: _Run) -> None:
+    def _record_run(self, unit: Unit, run: _Run) -> None:
         first = unit.members[0]
         for member in unit.members:
             member.progressed_at = self._now
-            self._trust.note_done(member.worker)
+            self._quarantine.note_done(member.worker)
         self._speeds.note_done(first, self._now)
         if not run.resumed:
             seconds = self._now - run.began
             estimate = unit.step.estimate_seconds
             self._durations.learn(unit.job.submission.queue, estimate, seconds)
 
-    def _note_failed(self, unit: Unit, run: _Run) -> None:
+    def _record_failure(self, unit: Unit, run: _Run) -> None:
         seconds = self._now - run.began
         for member in unit.members:
-            worker = self._board.workers[member.worker]
+            worker = self._fleet_state.workers[member.worker]
             if run.fails or self._failing[member.worker] > 0:
-                worker.quarantined_until = self._trust.note_failed(
+                worker.quarantined_until = self._quarantine.note_failed(
                     worker.name,
                     unit.job.job_id,
                     seconds,
                     self._now,
-                    len(self._board.workers),
+                    len(self._fleet_state.workers),
                 )
 
     def _stop(self, unit: Unit) -> None:
-        """End a run where the workers answer; the others are told again."""
+        """End a run on the workers that answer; stop it again later on the others."""
         silent = [each for each in unit.members if self._silent[each.worker]]
         if not silent:
             self._stopping.discard(id(unit))
@@ -495,7 +499,7 @@
         run = self._runs.pop(id(unit), None)
         if run is not None:
             self.day.stops += 1
-            run.advance(self._now, self._paces)
+            run.advance(self._now, self._slowdowns)
             if unit.step.checkpoints and not unit.job.state.final:
                 self._saved[id(unit)] = min(1.0, *run.shares, 1.0)
                 unit.checkpoint = "saved"
@@ -503,7 +507,7 @@
                 self._throw_away(run)
         for member in list(unit.members):
             if not self._silent[member.worker]:
-                self._board.note_gone(member, Proof.ENDED)
+                self._fleet_state.note_gone(member, Proof.ENDED)
 
     def _stop_again(self, unit: Unit, run: int) -> None:
         if unit.members and unit.run == run:
--- a/tools/bench/site_measures.py
+++ b/tools/bench/site_measures.py
@@ -1,4 +1,4 @@
-"""What a played day was worth, by the parts that operators weigh."""
+"""Calculates the worth of a played day from the parts that operators weigh."""
 
 import math
 from collections import defaultdict
@@ -12,18 +12,18 @@
 Item = TypeVar("Item")
 
 WINDOW_SECONDS = 2.0
-# The worst two windows of a day of 34 s are what its callers remember.
+# A day of 34 s is judged by its two worst windows.
 WORST_WINDOWS = 2
-# Served in nines: one caller in a thousand unserved counts as nobody.
-BEST_UNSERVED = 0.001
-# Smaller groups of callers say more about luck than about decisions.
-FEWEST_IN_GROUP = 3
+# One unserved caller in a thousand scores as none in the figure "served in nines".
+MIN_UNSERVED_SHARE = 0.001
+# Figures of smaller groups of callers depend more on chance than on decisions.
+MIN_GROUP_SIZE = 3
 
 
 def measure(day: Day, weights: Weights) -> dict[str, float]:
-    """Return a day's figures; credits are shares of what was owed.
+    """Return a day's figures; credits are shares of the owed worth.
 
-    What callers cancelled is not owed.
+    Jobs that callers cancelled are not owed.
     """
     outcomes = [each for each in day.outcomes if not each.cancelled]
     figures = {"all": share(outcomes)}
@@ -47,7 +47,7 @@
     figures["stops"] = day.stops
     figures["rescues"] = day.stall_restarts
     figures["restarts"] = day.restarts
-    figures["most starts of a unit"] = day.most_starts
+    figures["most starts of a unit"] = day.max_starts
     servable = [each for each in outcomes if each.servable]
     figures["servable"] = share(servable)
     figures["servable, unserved"] = count_unserved(servable)
@@ -57,7 +57,7 @@
 
 
 def weigh(figures: Mapping[str, float], owed: float, weights: Weights) -> float:
-    """Return a day's worth: the parts by their weights, less what was thrown away."""
+    """Return a day's worth: the weighted parts, less the work thrown away."""
     thrown_away = weights.thrown_away * figures["thrown away, core-seconds"]
     return (
         weights.whole * figures["all"]
@@ -75,13 +75,13 @@
 
 
 def share(outcomes: Sequence[Outcome]) -> float:
-    """Return what callers got, of what was owed to them."""
+    """Return the share of the owed worth that callers got."""
     owed = sum(each.arrival.worth for each in outcomes)
     return sum(each.credit for each in outcomes) / owed if owed else 1.0
 
 
 def group(items: Iterable[Item], key: Callable[[Item], str]) -> dict[str, list[Item]]:
-    """Return the items by a key."""
+    """Return the items grouped by a key."""
     groups: dict[str, list[Item]] = defaultdict(list)
     for each in items:
         groups[key(each)].append(each)
@@ -91,7 +91,7 @@
 def find_worst(outcomes: Sequence[Outcome], key: Callable[[Outcome], str]) -> float:
     """Return the share of the worst group."""
     groups = group(outcomes, key).values()
-    shares = [share(each) for each in groups if len(each) >= FEWEST_IN_GROUP]
+    shares = [share(each) for each in groups if len(each) >= MIN_GROUP_SIZE]
     return min(shares, default=1.0)
 
 
@@ -99,5 +99,5 @@
     """Return how few callers got nothing, on a log scale from 0 to 1."""
     if not callers:
         return 1.0
-    share = max(unserved / callers, BEST_UNSERVED)
-    return min(1.0, math.log(share) / math.log(BEST_UNSERVED))
+    share = max(unserved / callers, MIN_UNSERVED_SHARE)
+    return min(1.0, math.log(share) / math.log(MIN_UNSERVED_SHARE))
--- a/tools/bench/site_room.py
+++ b/tools/bench/site_room.py
@@ -1,9 +1,9 @@
-"""What a drawn day's fleet can hold at most, for the bound on any scheduler.
+"""The most that a random day's fleet can hold, for the bound on any scheduler.
 
-Each resource is one inequality that every schedule keeps at every moment: what the
-running tasks take of it, summed over the fleet or one rack, is no more than it holds.
-Beside processor, memory and accelerators there are rounded ones: two tasks that take
-more than half of a worker each can't share it, whatever their exact needs.
+Each resource is an inequality that every schedule satisfies at every time: what running
+tasks take of it, summed over the fleet or one rack, is at most its capacity. Besides
+processor, memory and accelerators there are rounded resources: two tasks that take more
+than half of a worker each can't share it, whatever their exact needs.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,22 +13,22 @@
 
 from primrosestile.state.work import Need
 from tools.bench.site_driver import CLOSING_SECONDS
-from tools.bench.site_workloads import Fault, Workload, draw_struck, name_rack
+from tools.bench.site_workloads import Fault, Workload, draw_affected, name_rack
 
 GRID_SECONDS = 0.5
-# The player handles what is due within this of an event together with it.
+# The driver handles events that are due within this time of another together with it.
 EARLY_SECONDS = 0.004
-# A rounded inequality for each of these: 1 of a task's need above 1/2, and so on.
+# Each gives a rounded inequality: with 1, needs above 1/2 count as a whole worker.
 ROUNDINGS = (1, 2, 3)
 
 PARTS = ("processor", "memory", "accelerators")
 
-# Says what share of one worker a need takes.
+# Returns the share of one worker that a need takes.
 Measure = Callable[[Need], float]
 
 
 def list_measures(capacity: Need, needs: Iterable[Need]) -> list[Measure]:
-    """Return the measures of a need that no other one implies for the day's needs."""
+    """Return the measures that no other one implies for the day's needs."""
     measures: list[Measure] = []
     for name in PARTS:
         whole = getattr(capacity, name)
@@ -51,11 +51,11 @@
 
 
 def round_share(need: int, capacity: int, rounding: int) -> float:
-    """Return a share such that those of tasks that fit together sum to at most 1.
+    """Return a rounded share; the shares of tasks that fit together sum to at most 1.
 
-    A dual feasible function: of tasks that take more than 1/(r+1) of a worker each at
-    most r fit, so each counts as 1/r at least; what is a whole multiple of 1/(r+1)
-    stays as it is.
+    A dual feasible function: of tasks that take more than 1/(r+1) of a worker each, at
+    most r fit, so each counts as at least 1/r; a whole multiple of 1/(r+1) is not
+    rounded.
     """
     if (rounding + 1) * need % capacity == 0:
         return need / capacity
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """A time in which some workers make no progress; what they hold isn't counted."""
+    """A span of time in seconds."""
 
     begins: float
     ends: float
@@ -78,15 +78,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Room:
-    """What a day's fleet can hold over time.
+    """The capacity of a day's fleet over time.
 
     Attributes:
         edges: Of the intervals of time, in seconds.
         measures: Of a need; each bounds the fleet, each rack, and large gangs.
-        capacity: By resource and interval, in workers times seconds.
+        capacity: By resource and interval, in worker-seconds.
         racks: Names, in the order of their resources.
-        per_worker: Seconds that a second of work takes, by kind of worker.
-        away: Times in which nothing can be started.
+        slowness: Seconds that a second of work takes, by kind of worker.
+        away: Times without an owner, in which nothing can be started.
+        gap: A time in which some workers stall; what they hold isn't counted.
     """
 
     edges: np.ndarray
@@ -101,12 +102,12 @@
 
     @property
     def intervals(self) -> np.ndarray:
-        """The length of each interval."""
+        """The length of each interval in seconds."""
         return np.diff(self.edges)
 
     @property
     def outside(self) -> np.ndarray:
-        """1 for intervals outside of the gap."""
+        """1 for intervals outside the gap, 0 for those in it."""
         if self.gap is None:
             return np.ones(len(self.edges) - 1)
         inside = (self.edges[:-1] >= self.gap.begins) & (
@@ -117,13 +118,13 @@
     def weigh(
         self, need: Need, count: int, rate: float, rack: str, together: bool
     ) -> np.ndarray:
-        """Return what alike tasks take of each resource while they run.
+        """Return what tasks of equal need take of each resource while they run.
 
         Args:
             need: Of one task.
-            count: How many there are.
-            rate: How many usual workers' time they take, for one task a worker.
-            rack: That they all run in, if that is known.
+            count: Number of tasks.
+            rate: Usual workers whose time they take, at one task a worker.
+            rack: The rack that they all run in; empty if it is not known.
             together: Whether they all run in one rack, whichever it is.
         """
         shares = np.array([measure(need) for measure in self.measures])
@@ -138,7 +139,7 @@
         return weights
 
     def fits_rack(self, need: Need, count: int) -> bool:
-        """Whether an empty rack can hold some alike tasks."""
+        """Whether an empty rack can hold a number of tasks of equal need."""
         fitting = [
             getattr(self.worker, name) // getattr(need, name)
             for name in PARTS
@@ -148,23 +149,23 @@
 
 
 def make_room(workload: Workload, seed: int, needs: Iterable[Need]) -> Room:
-    """Return what a day's fleet can hold, for what is asked of it."""
-    struck = draw_struck(workload, seed)
+    """Return the capacity of a day's fleet, measured for the day's needs."""
+    affected = draw_affected(workload, seed)
     away = []
     gaps: list[tuple[Gap, frozenset[int]]] = []
-    gone: list[tuple[float, frozenset[int]]] = []
-    for trouble, workers in zip(workload.troubles, struck, strict=True):
+    departures: list[tuple[float, frozenset[int]]] = []
+    for trouble, workers in zip(workload.troubles, affected, strict=True):
         ends = trouble.at + trouble.seconds
         window = Gap(trouble.at, max(trouble.at, ends - EARLY_SECONDS))
         if trouble.fault is Fault.AWAY:
             away.append(window)
-        elif trouble.fault is Fault.STILL:
+        elif trouble.fault is Fault.STALLED:
             gaps.append((window, frozenset(workers)))
         elif trouble.fault is Fault.LEAVE:
-            gone.append((ends, frozenset(workers)))
-    # One such time is counted; a run may pass several, and be spared twice.
-    gap, still = gaps[0] if gaps else (None, frozenset())
-    edges = _make_edges(workload, gap, gone)
+            departures.append((ends, frozenset(workers)))
+    # Only the first gap is modelled: a run may span several and be exempted twice.
+    gap, stalled = gaps[0] if gaps else (None, frozenset())
+    edges = _make_edges(workload, gap, departures)
     rates = 1 / np.array(
         [
             workload.speeds[number % len(workload.speeds)]
@@ -172,11 +173,11 @@
         ]
     )
     present = np.ones((workload.workers, len(edges) - 1))
-    for at, workers in gone:
+    for at, workers in departures:
         present[np.ix_(sorted(workers), edges[:-1] >= at)] = 0.0
     if gap is not None:
         inside = (edges[:-1] >= gap.begins) & (edges[1:] <= gap.ends)
-        present[np.ix_(sorted(still), inside)] = 0.0
+        present[np.ix_(sorted(stalled), inside)] = 0.0
     held = present * rates[:, None] * np.diff(edges)
     names = [name_rack(workload, number) for number in range(workload.workers)]
     racks = sorted(set(names))
@@ -185,7 +186,7 @@
     each = len(measures)
     rows = [held.sum(axis=0)] * each
     rows += [row for row in by_rack for _ in range(each)]
-    # Of gangs that take more than half of a rack each has a rack to itself.
+    # Each gang that takes more than half of a rack has a rack to itself.
     rows += [len(racks) * np.diff(edges)] * each
     return Room(
         edges,
@@ -201,17 +202,17 @@
 
 
 def _find_slowness(workload: Workload) -> tuple[float, ...]:
-    """Return the fastest workers' factor, and bounds on that of all others."""
+    """Return the fastest workers' factor, and the bounds on the others' factors."""
     fastest = min(workload.speeds)
     others = [speed for speed in workload.speeds if speed > fastest]
     return (fastest, min(others), max(others)) if others else (fastest,)
 
 
 def _make_edges(
-    workload: Workload, gap: Gap | None, gone: list[tuple[float, frozenset[int]]]
+    workload: Workload, gap: Gap | None, departures: list[tuple[float, frozenset[int]]]
 ) -> np.ndarray:
     ends_at = workload.seconds + CLOSING_SECONDS
-    marks = {at for at, _ in gone}
+    marks = {at for at, _ in departures}
     if gap is not None:
         marks |= {gap.begins, gap.ends}
     regular = np.arange(-GRID_SECONDS, ends_at + GRID_SECONDS, GRID_SECONDS)
--- a/tools/bench/site_workloads.py
+++ b/tools/bench/site_workloads.py
@@ -1,8 +1,8 @@
-"""A day's jobs, drawn from a workload file.
+"""Generates the jobs of random days from a workload file.
 
-Whether a change of the queue's order or of placing serves callers better can't be
-told from one day: two days of one kind differ more than two policies. So a file
-says what callers send, and any number of days is drawn from it.
+One day can't show whether a change of queue order or placement serves callers better,
+since two days of one kind differ more than two policies. So a file describes what
+callers send, and any number of days is generated from it.
 """
 
 import random
@@ -14,9 +14,9 @@
 
 from primrosestile.state.work import Need, Step, Submission
 
-# Run times of one step's tasks differ by this share.
+# Run times of one step's tasks differ by up to this share from the mean.
 TASK_SPREAD = 0.15
-# Past this many times its objective a job brings its caller nothing.
+# A job that takes more than this many times its objective is worth nothing.
 LATE_OBJECTIVES = 3
 
 
@@ -24,12 +24,12 @@
     """One kind of job.
 
     Attributes:
-        per_second: Jobs that callers hand in.
-        worth: What one of mean size is worth in time, `late_worth` past that.
-        width: Mean number of tasks; drawn with a spread of 0.8 of it.
-        accelerators: Drawn from these for each job.
-        estimate_off: Decimal exponent by which estimates are off at most.
-        gang, one_rack, checkpoints, data_rack: Share of jobs that are so.
+        per_second: Jobs that callers submit.
+        worth: Of a job of mean size in time; `late_worth` when it is late.
+        width: Mean number of tasks; its standard deviation is 0.8 of it.
+        accelerators: The choices for each job.
+        estimate_off: Largest decimal exponent of the error of estimates.
+        gang, one_rack, checkpoints, data_rack: Share of jobs with this property.
         cancelled: Share of jobs that their callers cancel within their run time.
     """
 
@@ -59,7 +59,7 @@
 
 
 class Burst(msgspec.Struct, frozen=True):
-    """A time in which more jobs of one kind come."""
+    """A time in which more jobs of one kind arrive."""
 
     queue: str
     at: float
@@ -68,17 +68,16 @@
 
 
 class Fault(StrEnum):
-    """What goes wrong with workers, or with the owner.
+    """A fault of workers or of the owner.
 
-    `SLOW`: tasks take several times as long. `STILL`: they make no progress. `FAIL`:
-    whatever starts fails at once. `LEAVE`: the worker says that it leaves, and goes.
-    `SILENT`: the worker answers nothing; what runs there runs on, and what it should
-    start or stop waits. `AWAY`: no owner decides anything; what is handed in is heard
-    of afterwards.
+    `SLOW`: tasks take several times as long. `STALLED`: they make no progress. `FAIL`:
+    every start fails at once. `LEAVE`: the worker announces that it leaves, and leaves.
+    `SILENT`: the worker does not answer; its tasks keep running, and starts and stops
+    wait. `NO_OWNER`: there is no owner; jobs that arrive are noticed afterwards.
     """
 
     SLOW = "slow"
-    STILL = "still"
+    STALLED = "still"
     FAIL = "fail"
     LEAVE = "leave"
     SILENT = "silent"
@@ -86,11 +85,11 @@
 
 
 class Trouble(msgspec.Struct, frozen=True):
-    """A fault, and when and how widely it strikes.
+    """A fault with its time and extent.
 
     Attributes:
         share: Of the workers; they are drawn anew for each day.
-        factor: How many times as long tasks take on slow ones.
+        factor: How many times as long tasks take on slow workers.
     """
 
     fault: Fault
@@ -101,7 +100,7 @@
 
 
 class Weights(msgspec.Struct, frozen=True):
-    """What operators weigh a day by; a part that they don't weigh is 0.
+    """The operators' weights of a day's figures; 0 for a figure that doesn't count.
 
     Attributes:
         thrown_away: The price of a core-second of work that was not saved, in the
@@ -117,10 +116,10 @@
 
 
 class Workload(msgspec.Struct, frozen=True):
-    """A fleet and what is asked of it.
+    """A fleet and its load.
 
     Attributes:
-        speeds: How many times as long each worker takes, in turn.
+        speeds: How many times as long workers take, assigned cyclically.
         guarantee: Accelerators of each organisation for its urgent work.
         gang_workers: Whole workers that the widest gang takes; 0 for a whole rack's
             accelerators, whatever else its tasks need.
@@ -143,12 +142,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One job, and what its caller does not know.
+    """One job, and what its caller does not know in advance.
 
     Attributes:
-        seconds: True time of a run on a usual worker, for each task.
+        seconds: True run time of each task on a usual worker.
         fails_at: Share of its first run after which that fails; 0 for never.
-        worth: In time, by its size; `late_worth` later.
+        worth: In time, by its size; `late_worth` when it is late.
         cancelled_at: When its caller cancels it; None for never.
     """
 
@@ -174,48 +173,48 @@
 
 def draw_day(workload: Workload, seed: int) -> list[Arrival]:
     """Return a day's jobs in the order of their arrival."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     arrivals = []
     for kind in workload.kinds:
         at = 0.0
         while True:
-            at += chance.expovariate(kind.per_second * _find_factor(workload, kind, at))
+            at += rng.expovariate(kind.per_second * _find_factor(workload, kind, at))
             if at > workload.seconds:
                 break
-            arrivals.append(_draw_job(workload, kind, at, chance))
+            arrivals.append(_draw_job(workload, kind, at, rng))
     return sorted(arrivals, key=lambda each: each.at)
 
 
-def draw_struck(workload: Workload, seed: int) -> list[list[int]]:
-    """Return the numbers of the workers that each of a day's faults strikes."""
-    chance = random.Random(seed)
-    # By name, as the days that were drawn so far.
+def draw_affected(workload: Workload, seed: int) -> list[list[int]]:
+    """Return the numbers of the workers that each of a day's faults affects."""
+    rng = random.Random(seed)
+    # Sorted by name, so that seeds give the same days as before.
     numbers = sorted(range(workload.workers), key=str)
     return [
-        chance.sample(numbers, round(trouble.share * len(numbers)))
+        rng.sample(numbers, round(trouble.share * len(numbers)))
         for trouble in workload.troubles
     ]
 
 
-def find_heard_at(workload: Workload, at: float) -> float:
-    """Return when the owner hears of a job that came at a time."""
+def find_notice_time(workload: Workload, at: float) -> float:
+    """Return when the owner notices a job that arrives at a time."""
     for trouble in workload.troubles:
         ends = trouble.at + trouble.seconds
         if trouble.fault is Fault.AWAY and trouble.at <= at < ends:
-            return find_heard_at(workload, ends)
+            return find_notice_time(workload, ends)
     return at
 
 
 def is_servable(workload: Workload, arrival: Arrival) -> bool:
-    """Whether somebody could have served a caller, were the fleet empty.
+    """Whether an empty fleet could have served the caller.
 
-    Else nobody decided anything for as long as the caller would have had to be heard.
+    If not, there was no owner until too late to serve the caller.
     """
-    heard_at = find_heard_at(workload, arrival.at)
-    if heard_at == arrival.at:
+    noticed_at = find_notice_time(workload, arrival.at)
+    if noticed_at == arrival.at:
         return True
     seconds = min(workload.speeds) * max(arrival.seconds)
-    return heard_at + seconds <= arrival.at + LATE_OBJECTIVES * arrival.objective
+    return noticed_at + seconds <= arrival.at + LATE_OBJECTIVES * arrival.objective
 
 
 def name_rack(workload: Workload, number: int) -> str:
@@ -231,46 +230,44 @@
     return factor
 
 
-def _draw_job(
-    workload: Workload, kind: Kind, at: float, chance: random.Random
-) -> Arrival:
-    usual = chance.gauss(kind.seconds, kind.seconds_spread * kind.seconds)
-    usual = min(kind.seconds_most, max(0.2 * kind.seconds, usual))
-    width = round(chance.gammavariate(1.56, kind.width / 1.56))
+def _draw_job(workload: Workload, kind: Kind, at: float, rng: random.Random) -> Arrival:
+    typical = rng.gauss(kind.seconds, kind.seconds_spread * kind.seconds)
+    typical = min(kind.seconds_most, max(0.2 * kind.seconds, typical))
+    width = round(rng.gammavariate(1.56, kind.width / 1.56))
     width = min(kind.width_most, max(1, width))
-    accelerators = chance.choice(kind.accelerators)
+    accelerators = rng.choice(kind.accelerators)
     seconds = tuple(
-        usual * chance.uniform(1 - TASK_SPREAD, 1 + TASK_SPREAD) for _ in range(width)
+        typical * rng.uniform(1 - TASK_SPREAD, 1 + TASK_SPREAD) for _ in range(width)
     )
-    off = chance.uniform(-kind.estimate_off, kind.estimate_off)
+    off = rng.uniform(-kind.estimate_off, kind.estimate_off)
     racks = workload.workers // workload.rack_size
-    gang = chance.random() < kind.gang
+    gang = rng.random() < kind.gang
     if gang:
         width = min(width, _find_widest(workload, kind, accelerators))
         seconds = seconds[:width]
     step = Step(
         count=width,
         need=Need(kind.processor, kind.memory, accelerators),
-        estimate_seconds=usual * 10**off,
+        estimate_seconds=typical * 10**off,
         gang=gang,
-        one_rack=gang and chance.random() < kind.one_rack,
-        data_rack=_draw_rack(racks, chance) if chance.random() < kind.data_rack else "",
-        checkpoints=chance.random() < kind.checkpoints,
+        one_rack=gang and rng.random() < kind.one_rack,
+        data_rack=_draw_rack(racks, rng) if rng.random() < kind.data_rack else "",
+        checkpoints=rng.random() < kind.checkpoints,
     )
     submission = Submission(
-        f"{chance.getrandbits(64):016x}",
+        f"{rng.getrandbits(64):016x}",
         kind.queue,
-        f"o{chance.randrange(workload.organisations)}",
+        f"o{rng.randrange(workload.organisations)}",
         workload.name,
         "",
         (step,),
     )
-    fails_at = chance.random() if chance.random() < kind.fails else 0.0
-    size = 0.3 + 0.7 * _measure(kind, step, usual)
+    fails_at = rng.random() if rng.random() < kind.fails else 0.0
+    size = 0.3 + 0.7 * _measure_size(kind, step, typical)
     size = min(4.0, size)
     cancelled_at = None
-    if kind.cancelled and chance.random() < kind.cancelled:
-        cancelled_at = at + chance.uniform(0.2, 1.0) * usual
+    if kind.cancelled and rng.random() < kind.cancelled:
+        cancelled_at = at + rng.uniform(0.2, 1.0) * typical
     return Arrival(
         at,
         kind,
@@ -284,24 +281,24 @@
 
 
 def _find_widest(workload: Workload, kind: Kind, accelerators: int) -> int:
-    """Return the most tasks of a gang."""
+    """Return the largest number of tasks of a gang."""
     capacity = workload.capacity
     by_accelerators = capacity.accelerators // accelerators
     if not workload.gang_workers:
-        # What is wider than half a rack is rare and waits for a whole one.
+        # Gangs wider than half a rack are rare and wait for a whole rack.
         return workload.rack_size * by_accelerators
     by_processor = capacity.processor // kind.processor
     by_memory = capacity.memory // kind.memory
     return workload.gang_workers * min(by_accelerators, by_processor, by_memory)
 
 
-def _draw_rack(racks: int, chance: random.Random) -> str:
-    return f"r{chance.randrange(racks)}"
+def _draw_rack(racks: int, rng: random.Random) -> str:
+    return f"r{rng.randrange(racks)}"
 
 
-def _measure(kind: Kind, step: Step, seconds: float) -> float:
-    """Return a job's core-seconds against the mean of its kind."""
+def _measure_size(kind: Kind, step: Step, seconds: float) -> float:
+    """Return a job's core-seconds as a ratio to the mean of its kind."""
     mean_accelerators = sum(kind.accelerators) / len(kind.accelerators)
     cores = kind.processor / 1000
-    mine = step.count * seconds * (cores + 8 * step.need.accelerators)
-    return mine / (kind.width * kind.seconds * (cores + 8 * mean_accelerators))
+    core_seconds = step.count * seconds * (cores + 8 * step.need.accelerators)
+    return core_seconds / (kind.width * kind.seconds * (cores + 8 * mean_accelerators))
--- a/tools/bench/slopes.py
+++ b/tools/bench/slopes.py
@@ -1,7 +1,7 @@
-"""What each role costs, at several sizes, and how it grows.
+"""Measures what each role costs at several sizes, and the slopes.
 
-Every figure comes from the real programs beside small stand-ins on one machine.
-`docs/CAPACITY.md` multiplies the slopes up; nothing here is extrapolated.
+Every figure comes from the real programs with small stand-ins on one machine.
+`docs/CAPACITY.md` extrapolates from the slopes; nothing here is extrapolated.
 """
 
 import json
@@ -29,8 +29,8 @@
     fit_line,
     list_programs,
     measure,
+    measure_at_rest,
     read_memory,
-    rest,
     run_calls,
 )
 from tools.launch import Deployment, call_json
@@ -74,7 +74,7 @@
 
 
 def sum_by_kind(values: dict[str, float]) -> dict[str, float]:
-    """Add up figures of programs by kind; their names end in it."""
+    """Sum the figures of programs by kind; the program names end in the kind."""
     return {
         kind: sum(each for name, each in values.items() if name.endswith(kind))
         for kind in KINDS
@@ -93,7 +93,7 @@
 
 
 def fit(rows: Sequence[dict[str, Any]], size: str) -> dict[str, Any]:
-    """Return base and slope of each figure over a size."""
+    """Return the base and slope of each figure over a size."""
 
     def line(read: Callable[[dict[str, Any]], float]) -> dict[str, float]:
         base, slope = fit_line([(row[size], read(row)) for row in rows])
@@ -114,20 +114,22 @@
 
 
 def measure_workers() -> dict[str, Any]:
-    """One VM at rest over fleets of several sizes."""
+    """Measure one VM at rest with fleets of several sizes."""
     rows = []
     for count in WORKER_COUNTS:
         with start(count, 1) as deployment:
-            rows.append(describe(rest(deployment, REST_SECONDS), workers=count))
+            rows.append(
+                describe(measure_at_rest(deployment, REST_SECONDS), workers=count)
+            )
     return {"rows": rows, "fit": fit(rows, "workers")}
 
 
 def measure_vms() -> dict[str, Any]:
-    """Several VMs at rest over one fleet."""
+    """Measure several VMs at rest with one fleet."""
     rows = []
     for count in VM_COUNTS:
         with start(TASK_WORKERS, count) as deployment:
-            rows.append(describe(rest(deployment, REST_SECONDS), vms=count))
+            rows.append(describe(measure_at_rest(deployment, REST_SECONDS), vms=count))
     return {"rows": rows, "fit": fit(rows, "vms")}
 
 
@@ -162,7 +164,7 @@
 
 
 def measure_tasks() -> dict[str, Any]:
-    """One VM while tasks start, and at rest while they run."""
+    """Measure one VM while tasks start, and at rest while they run."""
     rows = []
     starts = []
     for count in TASK_COUNTS:
@@ -177,7 +179,9 @@
             if count:
                 starts.append(describe(measure(deployment, begin), tasks=count))
                 time.sleep(SETTLE_SECONDS)
-            rows.append(describe(rest(deployment, REST_SECONDS), tasks=count))
+            rows.append(
+                describe(measure_at_rest(deployment, REST_SECONDS), tasks=count)
+            )
     return {"rows": rows, "starts": starts, "fit": fit(rows, "tasks")}
 
 
@@ -197,7 +201,7 @@
 
 
 def measure_requests(class_name: str, count: int) -> dict[str, Any]:
-    """One entry under short requests that take no time at their target."""
+    """Measure one entry under short requests that take no time at their target."""
     with start(24, 1) as deployment:
         address = find_entry(deployment)
         calls = [make_request(address, class_name, each) for each in range(count)]
@@ -219,7 +223,7 @@
 
 
 def make_record(members: int) -> JobRecord:
-    """Return the record of a gang as it stands in the store while it runs."""
+    """Return the stored record of a running gang."""
     spec = JobSpec(
         job_id="cell-12-48.0123456789abcdef",
         organisation="organisation-3",
@@ -245,7 +249,7 @@
 
 
 def measure_values() -> dict[str, Any]:
-    """Sizes of stored values, and the time to index settings."""
+    """Measure the sizes of stored values, and the time to index settings."""
     indexed = []
     for count in LARGE_WORKERS:
         settings = make_settings(
@@ -278,13 +282,13 @@
 
 
 def measure_memory_at_rest() -> dict[str, float]:
-    """Resident memory of each program on the smallest deployment."""
+    """Measure the resident memory of each program on the smallest deployment."""
     with start(24, 1) as deployment:
         programs = list_programs(deployment)
         return sum_by_kind({name: read_memory(each) for name, each in programs.items()})
 
 
-PARTS: dict[str, Callable[[], Any]] = {
+MEASUREMENTS: dict[str, Callable[[], Any]] = {
     "values": measure_values,
     "memory": measure_memory_at_rest,
     "requests": lambda: [
@@ -298,11 +302,11 @@
 
 
 def run(output: Path) -> dict[str, Any]:
-    """Measure every part and write `slopes.json`."""
+    """Run all measurements and write `slopes.json`."""
     figures = {}
-    for name, part in PARTS.items():
+    for name, measurement in MEASUREMENTS.items():
         print(f"measuring {name}", flush=True)
-        figures[name] = part()
+        figures[name] = measurement()
     text = json.dumps(figures, indent=1)
     (output / "slopes.json").write_text(text)
     print(text)
--- a/tools/bench/takeover.py
+++ b/tools/bench/takeover.py
@@ -1,7 +1,7 @@
-"""How long a VM with a slow link takes from being the owner to its first order.
+"""Measures how long a new owner with a slow link takes until its first order.
 
-On the stand-in and a paused clock: the times are those of the store and of the link
-that lists come over, without any processor time and without the calls to workers.
+It runs on the stand-in with a simulated clock: the times are those of the store and of
+the link that transfers lists, without processor time or calls to workers.
 """
 
 import asyncio
@@ -24,10 +24,10 @@
 ENDED_JOBS = 2000
 TASKS_PER_JOB = 10
 RACKS = 8
-# Given up past this.
-LONGEST_SECONDS = 60.0
-# After the first order, how much is read in the long run.
-READ_ON_SECONDS = 30.0
+# After this the measurement stops waiting.
+TIMEOUT_SECONDS = 60.0
+# Time after the first order over which the bytes read are counted.
+READ_AFTER_SECONDS = 30.0
 
 
 def run(output: Path) -> None:
@@ -50,7 +50,7 @@
 
 
 async def play(world: FleetWorld, workers: int) -> dict[str, Any]:
-    """Have a slow VM take over after a long day."""
+    """Let a VM with a slow link take over after a long day."""
     world.store.put(POLICY_KEY, make_policy(1))
     for number in range(workers):
         world.add_worker(f"w{number}", rack=f"r{number % RACKS}")
@@ -58,16 +58,16 @@
     store_jobs(world, range(OPEN_JOBS), TASKS_PER_JOB)
     set_link(world, "p1", LINK_MEGABITS)
     world.add_process("p1")
-    await world.wait_for(lambda: world.find_owner() is not None, LONGEST_SECONDS)
+    await world.wait_for(lambda: world.find_owner() is not None, TIMEOUT_SECONDS)
     gained_at = read_clock()
     with contextlib.suppress(AssertionError):
-        await world.wait_for(lambda: bool(world.fleet.starts), LONGEST_SECONDS)
+        await world.wait_for(lambda: bool(world.fleet.starts), TIMEOUT_SECONDS)
     took = read_clock() - gained_at
     read = world.store.bytes_listed["p1"]
-    await asyncio.sleep(READ_ON_SECONDS)
-    read_on = world.store.bytes_listed["p1"] - read
+    await asyncio.sleep(READ_AFTER_SECONDS)
+    read_after = world.store.bytes_listed["p1"] - read
     return {
         "first_order_seconds": round(took, 2) if world.fleet.starts else None,
         "bytes_read_by_then": read,
-        "bytes_listed_a_second_after": round(read_on / READ_ON_SECONDS),
+        "bytes_listed_a_second_after": round(read_after / READ_AFTER_SECONDS),
     }
