--- a/tools/bench/ablation.py
+++ b/tools/bench/ablation.py
@@ -42,14 +42,14 @@
 class NoSpeeds(Speeds):
     """Assumes that all workers are equally fast."""
 
-    def note_done(self, member: Member, now: float) -> None:
+    def record_success(self, member: Member, now: float) -> None:
         """Learn nothing."""
 
 
 class NoQuarantine(WorkerQuarantine):
     """Never quarantines a worker."""
 
-    def note_failed(
+    def record_failure(
         self, worker: str, job: str, seconds: float, now: float, workers: int
     ) -> float:
         """Return a quarantine that is already over."""
--- a/tools/bench/site_driver.py
+++ b/tools/bench/site_driver.py
@@ -309,7 +309,7 @@
             run = self._runs.pop(id(member.unit), None)
             if run is not None:
                 self._throw_away(run)
-        self._fleet_state.drop_worker(name, Proof.LIFE_OVER)
+        self._fleet_state.drop_worker(name, Proof.INCARNATION_OVER)
 
     def _admit(self, arrival: Arrival) -> None:
         servable = is_servable(self._workload, arrival)
@@ -337,7 +337,7 @@
             self._fleet_state, self._durations, self._speeds, self._now
         )
         for restart in plan.stall_restarts:
-            until = self._quarantine.note_stalled(
+            until = self._quarantine.record_stall(
                 restart.worker.name, self._now, len(self._fleet_state.workers)
             )
             restart.worker.quarantined_until = max(
@@ -397,7 +397,7 @@
         for index, member in enumerate(unit.members):
             position = index if unit.step.gang else unit.key.position
             seconds.append(arrival.seconds[position] * (FAR_FACTOR if far else 1.0))
-            self._fleet_state.note_up(member, self._now)
+            self._fleet_state.mark_up(member, self._now)
         done = self._saved.get(id(unit), 0.0)
         shares = [done] * unit.size
         run = _Run(unit, unit.run, self._now, self._now, seconds, shares, done > 0)
@@ -453,9 +453,9 @@
             self._record_failure(unit, run)
         members = list(unit.members)
         for member in members:
-            self._fleet_state.note_end(member.task, member.run, kind, "")
+            self._fleet_state.record_end(member.task, member.run, kind, "")
         for member in members:
-            self._fleet_state.note_gone(member, Proof.ENDED)
+            self._fleet_state.mark_gone(member, Proof.ENDED)
         if job.state.final and job.state is not JobState.CANCELLED:
             outcome = self._outcomes[job.job_id]
             outcome.ended_at = self._now
@@ -465,8 +465,8 @@
         first = unit.members[0]
         for member in unit.members:
             member.progressed_at = self._now
-            self._quarantine.note_done(member.worker)
-        self._speeds.note_done(first, self._now)
+            self._quarantine.record_success(member.worker)
+        self._speeds.record_success(first, self._now)
         if not run.resumed:
             seconds = self._now - run.began
             estimate = unit.step.estimate_seconds
@@ -477,7 +477,7 @@
         for member in unit.members:
             worker = self._fleet_state.workers[member.worker]
             if run.fails or self._failing[member.worker] > 0:
-                worker.quarantined_until = self._quarantine.note_failed(
+                worker.quarantined_until = self._quarantine.record_failure(
                     worker.name,
                     unit.job.job_id,
                     seconds,
@@ -507,7 +507,7 @@
                 self._throw_away(run)
         for member in list(unit.members):
             if not self._silent[member.worker]:
-                self._fleet_state.note_gone(member, Proof.ENDED)
+                self._fleet_state.mark_gone(member, Proof.ENDED)
 
     def _stop_again(self, unit: Unit, run: int) -> None:
         if unit.members and unit.run == run:
--- a/tools/bench/takeover.py
+++ b/tools/bench/takeover.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 import structlog
-from features.doubles.fleetworld import FleetWorld, make_policy
-from features.doubles.longday import end_jobs, set_link, store_jobs
+from features.doubles.fleet_world import FleetWorld, make_policy
+from features.doubles.stored_jobs import end_jobs, set_link, store_jobs
 
 from primrosestile.clock import read_clock
 from primrosestile.platform.policy import POLICY_KEY
--- a/tools/errorpage.py
+++ b/tools/errorpage.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from primrosestile.errors import ANSWERS, Answer, ErrorKind, Failure
-from primrosestile.programs.clioutput import (
+from primrosestile.programs.cli_output import (
     EXIT_MEANINGS,
     choose_exit,
     make_failure_body,
--- a/tools/launch.py
+++ b/tools/launch.py
@@ -28,7 +28,7 @@
 
 import msgspec
 
-from primrosestile.coordination.settingstore import put_setting
+from primrosestile.coordination.setting_store import put_setting
 from primrosestile.decisions.settings_parts import split_document
 from primrosestile.state.fleet import Fleet
 from primrosestile.state.process import ProcessSettings
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -24,13 +24,13 @@
 
 import aiohttp
 from aiohttp import web
-from features.doubles.fleetworld import HOST, PlatformEntry, make_policy
+from features.doubles.fleet_world import HOST, PlatformEntry, make_policy
 
 from primrosestile.platform.policy import POLICY_KEY
 from primrosestile.state.work import Need
-from primrosestile_standin.fleet_http import AdviceEnd, StoreEnd, WorkersEnd
-from primrosestile_standin.fleetstore import FleetStore
-from primrosestile_standin.fleetworker import Fleet, Script
+from primrosestile_standin.fleet_http import AdviceServer, StoreServer, WorkersServer
+from primrosestile_standin.fleet_store import FleetStore
+from primrosestile_standin.fleet_worker import Fleet, Script
 from tools.soakproxy import Mode, Proxy
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -174,10 +174,10 @@
 
     async def _set_up(self) -> None:
         self.store.put(POLICY_KEY, make_policy(1))
-        store = await self._listen(StoreEnd(self.store).make_app())
-        advice = await self._listen(AdviceEnd(self.fleet).make_app())
+        store = await self._listen(StoreServer(self.store).make_app())
+        advice = await self._listen(AdviceServer(self.fleet).make_app())
         for number in range(WORKERS):
-            port = await self._listen(WorkersEnd(self.fleet).make_app())
+            port = await self._listen(WorkersServer(self.fleet).make_app())
             proxy = await self._add_proxy(port)
             entry = PlatformEntry(
                 f"w{number}",
@@ -350,7 +350,7 @@
         for job in self.jobs:
             if job.refused and job.job_id in started:
                 self.violations.append(f"{job.job_id} was refused as not run, and ran")
-        self.violations += self.fleet.faults_found
+        self.violations += self.fleet.violations
         if not accepted:
             self.violations.append("no job was accepted")
 
