--- a/features/steps/failures_storefaults_steps.py
+++ b/features/steps/failures_storefaults_steps.py
@@ -10,7 +10,7 @@
 from failures_outages_steps import VMS
 from failures_requests_steps import SLOW_SECONDS
 from failures_world import World
-from tools.launch import Switches
+from tools.launch import StandinControl
 
 LOSE_EVERY_SECONDS = 0.05
 JOBS = 5
@@ -24,7 +24,7 @@
 class AnswerDropper:
     """Makes the store drop the answer to one write after the other."""
 
-    def __init__(self, store: Switches) -> None:
+    def __init__(self, store: StandinControl) -> None:
         self._store = store
         self._ended = threading.Event()
         self._thread = threading.Thread(target=self._run)
--- a/features/steps/work_bound_steps.py
+++ b/features/steps/work_bound_steps.py
@@ -127,7 +127,7 @@
 
 @given("no owner decides anything from {begins:g} to {ends:g} s")
 def step_away(context: Any, begins: float, ends: float) -> None:
-    trouble = Trouble(Fault.AWAY, begins, ends - begins)
+    trouble = Trouble(Fault.NO_OWNER, begins, ends - begins)
     context.workload = msgspec.structs.replace(context.workload, troubles=[trouble])
 
 
--- a/tools/bench/site_driver.py
+++ b/tools/bench/site_driver.py
@@ -269,7 +269,7 @@
 
     def _apply_fault(self, trouble: Trouble, affected: list[str], sign: int) -> None:
         """Begin a fault (sign 1) or end it (sign -1)."""
-        if trouble.fault is Fault.AWAY:
+        if trouble.fault is Fault.NO_OWNER:
             self._owner_outages += sign
             for arrival in self._unnoticed if not self._owner_outages else ():
                 self._accept(arrival)
--- a/tools/bench/site_room.py
+++ b/tools/bench/site_room.py
@@ -157,7 +157,7 @@
     for trouble, workers in zip(workload.troubles, affected, strict=True):
         ends = trouble.at + trouble.seconds
         window = Gap(trouble.at, max(trouble.at, ends - EARLY_SECONDS))
-        if trouble.fault is Fault.AWAY:
+        if trouble.fault is Fault.NO_OWNER:
             away.append(window)
         elif trouble.fault is Fault.STALLED:
             gaps.append((window, frozenset(workers)))
--- a/tools/bench/site_workloads.py
+++ b/tools/bench/site_workloads.py
@@ -81,7 +81,7 @@
     FAIL = "fail"
     LEAVE = "leave"
     SILENT = "silent"
-    AWAY = "away"
+    NO_OWNER = "away"
 
 
 class Trouble(msgspec.Struct, frozen=True):
@@ -200,7 +200,7 @@
     """Return when the owner notices a job that arrives at a time."""
     for trouble in workload.troubles:
         ends = trouble.at + trouble.seconds
-        if trouble.fault is Fault.AWAY and trouble.at <= at < ends:
+        if trouble.fault is Fault.NO_OWNER and trouble.at <= at < ends:
             return find_notice_time(workload, ends)
     return at
 
--- a/tools/launch.py
+++ b/tools/launch.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Switches:
+class StandinControl:
     """Client of the address where a stand-in takes faults and reports what happened."""
 
     address: str
@@ -125,8 +125,8 @@
         self.started: list[Program] = []
         self._ports = iterate_ports()
         self.store_address = self.vms_address = ""
-        self.store = Switches("")
-        self.workers = Switches("")
+        self.store = StandinControl("")
+        self.workers = StandinControl("")
 
     def __enter__(self) -> Self:
         return self
@@ -253,7 +253,7 @@
         )
         return replace(settings, **self.process_settings)
 
-    def _start_standin(self, name: str, *arguments: str) -> Switches:
+    def _start_standin(self, name: str, *arguments: str) -> StandinControl:
         address = self.take_address()
         command = ("primrosestile_standin.program", *arguments, "--listen", address)
         program = self._start(f"standin-{name}", command)
@@ -262,7 +262,7 @@
         )
         if not program.is_running:
             raise RuntimeError(program.read_log_tail())
-        return Switches(address)
+        return StandinControl(address)
 
     def _start(
         self,
