--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -323,7 +323,7 @@
     return [
         "Mean worth over the standard days with faults, processor time counted.",
         "",
-        "| deployment | asked | initially | now |",
+        "| deployment | asked | as found | now |",
         "|---|---|---|---|",
         *rows,
     ]
@@ -336,7 +336,7 @@
         for vms, workers in zip(figures["vms"], figures["workers"], strict=True)
     ]
     return [
-        "The median VM and the busiest, which is the one that schedules. Power: the "
+        "The middle VM and the busiest, which is the one that schedules. Power: the "
         "busiest grows as the number of VMs to this power. The last column extrapolates "
         "that to the users' target of 14,678 VMs; it was not played.",
         "",
@@ -345,7 +345,7 @@
         *(f"| {' | '.join(map(str, row))} |" for row in figures["rows"]),
         "",
         "Why it grows: one VM schedules the whole fleet, with a task for each worker; "
-        "all others only accept calls, so the median VM grows only in traffic, "
+        "all others only accept calls, so the middle VM grows only in traffic, "
         "which is the policy that each reads. Over budget at that size: the "
         "memory (256 MB), traffic (28 kB a second) and connections of the VM that "
         "schedules. The day at 300 VMs gave no result: the machine ran out of memory "
