--- a/features/fuzzing/work_guards.feature
+++ b/features/fuzzing/work_guards.feature
@@ -28,7 +28,7 @@
 
   Scenario Outline: An owner that has lost the store goes on reaching a worker
     It extends the worker's lease, so nothing is lost when the store is down for all
-    processes. If it extended the lease for good, the run there would go on when the
+    processes. If it extended the lease without limit, the run would go on when the
     successor, which can't reach the worker, has waited long enough and starts the task
     elsewhere.
     When a job of large tasks of 40 s is submitted to the fuzzed fleet
--- a/features/platform/foreign_entries.feature
+++ b/features/platform/foreign_entries.feature
@@ -168,7 +168,7 @@
 
   Scenario: An unreadable row of advice leaves the answer incomplete
     The service names a worker, but the row is truncated. If the worker counted as not
-    allowed, it would stay so for good, and the step might never start.
+    allowed, it would stay refused, and the step might never start.
     When the advice service answers with rows that can't be read
     Then the valid row is used
     And the answer is marked as incomplete
@@ -218,7 +218,7 @@
 
   Scenario: An unreadable configuration leaves the last one in force for a limited time
     The newest version has a format that this process can't decode. If the older one
-    stayed in force for good, a caller whose key was removed would still be served.
+    stayed in force indefinitely, a caller whose key was removed would still be served.
     Given a fleet of 2 workers with 8 accelerators in 1 racks
     And 2 processes of ours
     When the configuration is overwritten with bytes that can't be read
--- a/features/work/faults.feature
+++ b/features/work/faults.feature
@@ -69,7 +69,7 @@
   Scenario: A worker that was given up is back under its name
     A network cut lasts longer than the worker's lease and its entry is gone, so the
     worker is given up; then it is back. It must get work again, or a job that needs the
-    whole fleet waits for good.
+    whole fleet waits indefinitely.
     When worker w1 is cut off
     And the entry of w1 is gone
     And 20 s pass
--- a/src/primrosestile/coordination/work/advisor.py
+++ b/src/primrosestile/coordination/work/advisor.py
@@ -71,8 +71,9 @@
         )
         allowed = {each.worker: each.ticket for each in answer.allowed}
         if not answer.complete:
-            # A worker that is missing in a complete answer counts as refused for good.
-            # Here it may be in the unreadable part, so it is asked about again.
+            # A worker that is missing in a complete answer counts as refused
+            # permanently. Here it may be in the unreadable part, so it is asked about
+            # again.
             question = replace(question, workers=tuple(allowed))
         record_answer(question, allowed, asked_at)
         _log.info(
--- a/src/primrosestile/coordination/work/election.py
+++ b/src/primrosestile/coordination/work/election.py
@@ -38,7 +38,7 @@
 )
 
 # A process that is not the owner reads the owner's key again after this time without
-# a change, since a watch may be silent for good.
+# a change, since a watch may stall permanently.
 WATCH_SECONDS = 2.0
 RETRY_SECONDS = 0.25
 # Election delay of a process that resigned just now. The weakest other
--- a/src/primrosestile/coordination/work/orders.py
+++ b/src/primrosestile/coordination/work/orders.py
@@ -1,10 +1,10 @@
 """Records decisions, then sends the starts; repeats stops until they are confirmed.
 
 An unanswered start may have been carried out, or may be seconds later. The same order
-is therefore sent again: a worker that already runs it says so. If that fails too, the
-run is abandoned by a stop, after which the worker refuses its start for good. The task
-may run again only once the worker itself reports that the run is not there, or its
-lease has ended.
+is therefore sent again: a worker that already runs it reports that. If that fails too,
+the run is abandoned by a stop, after which the worker always refuses its start. The
+task may run again only once the worker itself reports that the run is not there, or
+its lease has ended.
 """
 
 import asyncio
--- a/src/primrosestile/coordination/work/request_watch.py
+++ b/src/primrosestile/coordination/work/request_watch.py
@@ -43,7 +43,7 @@
     matches_submission,
 )
 
-# A watch may be silent for good; renewed this often, it delays a change by one wait.
+# A watch may stall permanently; renewed this often, it delays a change by one wait.
 WATCH_SECONDS = 1.0
 # Everything is read again this often, since the watch may have missed changes.
 RELIST_SECONDS = 5.0
--- a/src/primrosestile/coordination/work/scheduler.py
+++ b/src/primrosestile/coordination/work/scheduler.py
@@ -245,7 +245,7 @@
             # These log lines include the fields of the link, so they come first.
             self._log_gone()
             # A dropped worker may be back under its name by now; dropping its new link
-            # too would leave its runs without orders for good.
+            # too would leave its runs without orders permanently.
             if self._links.get(name) is link:
                 del self._links[name]
 
--- a/src/primrosestile/coordination/work/worker_links.py
+++ b/src/primrosestile/coordination/work/worker_links.py
@@ -126,10 +126,10 @@
     def record_stop_answer(self, member: Member) -> None:
         """Record that the worker has answered a stop.
 
-        The time of the first answer is kept, which blocks the run for good. With the
-        time of the latest one, a stop that is repeated each second would always be
-        newer than the poll that could confirm it, and the wait for the run would never
-        end.
+        Only the time of the first answer is kept; from then on the worker refuses to
+        start the run. With the time of the latest one, a stop that is repeated each
+        second would always be newer than the poll that could confirm it, and the wait
+        for the run would never end.
         """
         self._stopped.setdefault((member.task, member.run), read_clock())
 
--- a/src/primrosestile/decisions/work/owner_health.py
+++ b/src/primrosestile/decisions/work/owner_health.py
@@ -2,9 +2,9 @@
 
 Renewing the ownership takes a few bytes; the work needs a link and a processor that can
 serve the fleet. An owner whose VM can't do the work would otherwise keep the ownership
-for good: its lease never ends, jobs are not started, cancellations accepted elsewhere
-are never read, and leases of runs lapse. So the owner measures its own work, and
-resigns when the work isn't done although the store answers its small calls.
+indefinitely: its lease never ends, jobs are not started, cancellations accepted
+elsewhere are never read, and leases of runs lapse. So the owner measures its own work,
+and resigns when the work isn't done although the store answers its small calls.
 
 Problems that all processes share must not make the ownership change again and again,
 since nothing new starts during a change. Three rules prevent that: no age counts for
--- a/src/primrosestile/transport/connections.py
+++ b/src/primrosestile/transport/connections.py
@@ -1,6 +1,6 @@
 """HTTP connection pools by address that recover from half-open connections.
 
-A connection can go silent for good while new ones to the same address work, because
+A connection can stall permanently while new ones to the same address work, because
 a device between the two ends has dropped its state. The other connections of the
 pool are then likely to be silent too, and each would cost one caller a whole timeout:
 the target keeps timing out for us although it serves others. After a timeout no idle
--- a/src/primrosestile/transport/peers.py
+++ b/src/primrosestile/transport/peers.py
@@ -1,7 +1,7 @@
 """Messages between the processes of a deployment over pyzmq.
 
 Each process answers on one ROUTER socket and sends requests to each peer through a
-DEALER socket of its own. A connection can go silent for good while new ones work,
+DEALER socket of its own. A connection can stall permanently while new ones work,
 because a device between the two ends has dropped its state: every request to one peer
 then times out while the peer answers others. The first request that times out
 therefore closes its socket, and the next request opens another.
