--- a/src/primrosestile/coordination/actions.py
+++ b/src/primrosestile/coordination/actions.py
@@ -242,8 +242,7 @@
         """Wait until the leases of tasks whose stop was not confirmed have lapsed.
 
         RESTART_AFTER_LAPSE: a job restarted while a member of its earlier attempt still
-            runs would run in two places, the earlier attempt in part.
-        attempt still runs would be in two places, and the first one in part.
+        runs would run in two places, the earlier attempt in part.
         """
         if unconfirmed:
             lapse = self._data.find_lapse_time(unconfirmed)
--- a/src/primrosestile/coordination/caretaker.py
+++ b/src/primrosestile/coordination/caretaker.py
@@ -136,8 +136,7 @@
     """Return the tasks of one worker whose gang is complete.
 
     CARETAKER_RENEWS_WHOLE: a gang that has lost a member must lapse, since there is no
-        owner to stop its other members.
-    nobody who could stop the rest of it.
+    owner to stop its other members.
     """
     return [
         task.task_id
--- a/src/primrosestile/coordination/cell.py
+++ b/src/primrosestile/coordination/cell.py
@@ -212,8 +212,7 @@
         """Stop deciding, and wait until all actions have ended.
 
         HAND_OVER_BEFORE_EXIT: a start interrupted between its record and its last `go`
-            would leave an incomplete gang until the next owner has recovered the cell.
-        would leave a gang in part until the next owner has recovered.
+        would leave an incomplete gang until the next owner has recovered the cell.
         """
         self._placement.close()
         await self._placement.wait_until_idle()
--- a/src/primrosestile/coordination/cell_data.py
+++ b/src/primrosestile/coordination/cell_data.py
@@ -52,8 +52,7 @@
         """Whether the VM list or the worker itself reports that it is leaving.
 
         LEAVING_FROM_EITHER_SOURCE: the list lags, and a partitioned worker can't report
-            to us; either source is enough.
-        from us can't say so; either of the two is enough.
+        to us; either source is enough.
         """
         return self.listed_leaving or (self.report is not None and self.report.leaving)
 
--- a/src/primrosestile/coordination/gangs.py
+++ b/src/primrosestile/coordination/gangs.py
@@ -76,8 +76,7 @@
         """Refuse to act once this process's own lease has lapsed.
 
         OWNER_STOPS_ACTING_AT_LAPSE: a process that was paused past its lease fails
-            here, before it commands workers that have a new owner.
-        finds out here, before it commands workers that have a new owner.
+        here, before it commands workers that have a new owner.
 
         Raises:
             Failure: NOT_OWNER.
--- a/src/primrosestile/coordination/job_table.py
+++ b/src/primrosestile/coordination/job_table.py
@@ -147,12 +147,9 @@
         """Write a record by compare-and-swap on the revision of `base`.
 
         START_RECORD_COMPARED: if any process has changed the record since it was read,
-            nothing is written and this returns False, with the copy refreshed. That
-            includes a change that the watch has already merged into the copy: comparing
-            the copy's revision alone would overwrite a caller's cancellation.
-        this return False, with the copy refreshed, and nothing is written. That
-        includes a change that the watch has taken into the copy meanwhile: going
-        by the copy's revision alone, a caller's cancellation would be overwritten.
+        nothing is written and this returns False, with the copy refreshed. That
+        includes a change that the watch has already merged into the copy: comparing the
+        copy's revision alone would overwrite a caller's cancellation.
 
         Args:
             record: The new record.
--- a/src/primrosestile/coordination/settled_writes.py
+++ b/src/primrosestile/coordination/settled_writes.py
@@ -25,10 +25,8 @@
     """Write if the key's revision is `expected`, and find out whether it was written.
 
     LOST_WRITE_NOT_DISPROVED: a write whose answer was lost may still be in flight and
-        arrive after a read that does not show it. So after a lost answer the outcome is
-        either found in the store or unknown, never "not written".
-    and land after a read that does not show it. So once one answer was lost, the
-    outcome is either found in the store or unknown, never "not written".
+    arrive after a read that does not show it. So after a lost answer the outcome is
+    either found in the store or unknown, never "not written".
 
     Raises:
         Failure: STORE_UNAVAILABLE when nothing was written; STORE_ANSWER_LOST
