--- a/specification/fleet_task.py
+++ b/specification/fleet_task.py
@@ -13,7 +13,7 @@
 together hold too, in 392,542 states, which takes two minutes and is therefore not
 part of the check.
 
-Left out: gangs (see `gang start`), polls whose answers are reordered, further owners,
+Left out: gangs (see `gang_start`), polls whose answers are reordered, further owners,
 a lost answer from the store, a message's delay between the check of the owner's lease
 and the worker, and whether every task ends.
 """
--- a/src/primrosestile_standin/fleet_vms.py
+++ b/src/primrosestile_standin/fleet_vms.py
@@ -20,7 +20,8 @@
 
     Attributes:
         waves: The waves that operators have requested.
-        completed: Waves reported as completed, each with its VMs missing by then.
+        completed: Waves reported as completed, each with those of its VMs whose
+            maintenance had not begun by then.
         peak_unavailable: The largest number of VMs that were unavailable at once.
         lose_answers: How many of the next orders take effect without an answer.
         seconds: Duration of one maintenance.
